--- /dev/null
+++ b/members/tests/golden.rs
@@ -0,0 +1,135 @@
+//! Golden file: every datagram and whole state that a fixed course of events brings forth keeps its bytes.
+//! `UPDATE_GOLDEN=1` writes the fixture anew, for a deliberate change of the format.
+
+use postusher_members::*;
+use std::collections::VecDeque;
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::path::Path;
+
+const MEMBERS: usize = 4;
+const STEP_MS: f64 = 50.0;
+const DURATION_MS: f64 = 16_000.0;
+/// The last member falls silent.
+const CRASH_MS: f64 = 6_000.0;
+/// A second process claims the name of the first member.
+const CLAIM_MS: f64 = 3_000.0;
+/// The second member hears nothing of the third, so that others are asked.
+const CUT_MS: f64 = 4_000.0;
+
+enum Content {
+    Datagram(Vec<u8>),
+    State { bytes: Vec<u8>, answer: bool },
+}
+
+struct Cluster {
+    members: Vec<Members>,
+    network: VecDeque<(usize, usize, Content)>,
+    transcript: String,
+}
+
+fn addr(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, member as u8 + 1], 7946))
+}
+
+fn member(name: usize, at: usize, now: f64) -> Members {
+    let config = Config::new("golden", &format!("m{name}"), &format!("z{}", name % 2), addr(at));
+    Members::new(Config { seeds: vec![addr(0), addr(1)], ..config }, 7 + at as u64, now)
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().fold(String::new(), |mut text, byte| {
+        write!(text, "{byte:02x}").unwrap();
+        text
+    })
+}
+
+impl Cluster {
+    fn note(&mut self, now: f64, from: usize, to: SocketAddr, kind: &str, bytes: &[u8]) {
+        writeln!(self.transcript, "{now} {from} {to} {kind} {}", hex(bytes)).unwrap();
+    }
+
+    fn carry_out(&mut self, now: f64, from: usize, actions: Vec<Action>) {
+        for action in actions {
+            match action {
+                Action::Datagram { to, bytes } => {
+                    self.note(now, from, to, "datagram", &bytes);
+                    let receiver = (0..self.members.len()).find(|n| addr(*n) == to);
+                    let content = Content::Datagram(bytes);
+                    self.network.extend(receiver.map(|receiver| (from, receiver, content)));
+                }
+                Action::Exchange { with } => {
+                    let bytes = self.members[from].whole();
+                    self.note(now, from, with, "state", &bytes);
+                    let receiver = (0..self.members.len()).find(|n| addr(*n) == with);
+                    let content = Content::State { bytes, answer: true };
+                    self.network.extend(receiver.map(|receiver| (from, receiver, content)));
+                }
+                Action::End { why } => self.note(now, from, addr(from), "end", why.as_bytes()),
+            }
+        }
+    }
+
+    fn deliver(&mut self, now: f64) {
+        for _ in 0..self.network.len() {
+            let Some((from, to, content)) = self.network.pop_front() else { return };
+            let crashed = now >= CRASH_MS && (from == MEMBERS - 1 || to == MEMBERS - 1);
+            let cut = now >= CUT_MS && now < CRASH_MS && (from, to) == (2, 1);
+            if crashed || cut {
+                continue;
+            }
+            let mut actions = Vec::new();
+            match content {
+                Content::Datagram(bytes) => self.members[to].datagram(addr(from), &bytes, now, &mut actions),
+                Content::State { bytes, answer } => {
+                    if answer {
+                        let own = self.members[to].whole();
+                        self.note(now, to, addr(from), "state", &own);
+                        self.network.push_back((to, from, Content::State { bytes: own, answer: false }));
+                    }
+                    self.members[to].take_whole(&bytes, now, &mut actions);
+                }
+            }
+            self.carry_out(now, to, actions);
+        }
+    }
+}
+
+#[test]
+fn what_members_send_keeps_its_bytes() {
+    let members = (0..MEMBERS).map(|n| member(n, n, 0.0)).collect();
+    let mut cluster = Cluster { members, network: VecDeque::new(), transcript: String::new() };
+    let mut now = 0.0;
+    while now < DURATION_MS {
+        if now == CLAIM_MS {
+            cluster.members.push(member(0, MEMBERS, now));
+        }
+        cluster.deliver(now);
+        for n in 0..cluster.members.len() {
+            let due = cluster.members[n].next_wake().is_none_or(|at| at <= now);
+            if due && !(n == MEMBERS - 1 && now >= CRASH_MS) {
+                let mut actions = Vec::new();
+                cluster.members[n].wake(now, &mut actions);
+                cluster.carry_out(now, n, actions);
+            }
+        }
+        now += STEP_MS;
+    }
+    let mut actions = Vec::new();
+    cluster.members[1].leave(now, &mut actions);
+    cluster.carry_out(now, 1, actions);
+    let sent = cluster.members.iter().fold([0; 8], |sum: [u64; 8], m| {
+        let parts = m.figures().parts;
+        std::array::from_fn(|kind| sum[kind] + parts[kind])
+    });
+    assert!(sent.iter().all(|count| *count > 0), "every kind is in the course: {KINDS:?} {sent:?}");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/course.txt");
+    if std::env::var_os("UPDATE_GOLDEN").is_some() {
+        std::fs::write(&path, &cluster.transcript).unwrap();
+    }
+    let expected = std::fs::read_to_string(path).unwrap();
+    for (nth, (actual, expected)) in cluster.transcript.lines().zip(expected.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {}", nth + 1);
+    }
+    assert_eq!(cluster.transcript.len(), expected.len());
+}
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -12,6 +12,8 @@
 mod event_loop;
 mod figures;
 mod forward;
+#[cfg(test)]
+mod golden_tests;
 mod handover;
 mod http;
 mod import;
--- a/node/tests/serve/main.rs
+++ b/node/tests/serve/main.rs
@@ -8,6 +8,7 @@
 
 mod closes;
 mod discovery;
+mod golden;
 mod large_lists;
 mod late_connections;
 mod lists;
--- a/node/tests/serve/rig.rs
+++ b/node/tests/serve/rig.rs
@@ -293,7 +293,7 @@
     }
 
     /// Whether something has come and is not read yet, or the end has.
-    fn has_data(&self) -> bool {
+    pub fn has_data(&self) -> bool {
         let stream = self.0.get_ref();
         stream.set_nonblocking(true).unwrap();
         let come = !self.0.buffer().is_empty() || stream.peek(&mut [0]).is_ok();
