--- a/Makefile
+++ b/Makefile
@@ -1,36 +1,39 @@
 # Build, test, lint and run; .ci/run calls these.
 
-.PHONY: build test lint run fmt demo lab bench members members-model
+.PHONY: build test lint run fmt demo testbed lab bench members members-model
 
 build:
 	cargo build --release --locked
 
 # A newcomer's first command: a scheduler with a fleet around it, a minute of jobs, a report.
 demo:
-	@cargo build --profile lab --locked --quiet -p postusher-node -p postusher-lab
-	@target/lab/postusher-lab run lab/scenarios/demo.toml --out target/demo
+	@cargo build --profile testbed --locked --quiet -p postusher-node -p postusher-testbed
+	@target/testbed/postusher-testbed run crates/testbed/scenarios/demo.toml --out target/demo
 
-# make lab SCENARIO=lab/scenarios/waiting.toml SEED=1 OUT=target/report
+# make testbed SCENARIO=crates/testbed/scenarios/waiting.toml SEED=1 OUT=target/report
 SEED ?= 1
 OUT ?= target/report
-lab:
-	cargo build --profile lab --locked -p postusher-node -p postusher-lab
-	target/lab/postusher-lab run "$(SCENARIO)" --seed $(SEED) --out "$(OUT)"
+testbed:
+	cargo build --profile testbed --locked -p postusher-node -p postusher-testbed
+	target/testbed/postusher-testbed run "$(SCENARIO)" --seed $(SEED) --out "$(OUT)"
+
+# The target's name before.
+lab: testbed
 
 # Membership in virtual time: times to know of a crash, wrong removals, cost; by hand, some minutes. HOURS=100 are 1,000
-# member-hours. Twenty schedulers for ten minutes: make lab SCENARIO=lab/scenarios/members-long.toml
+# member-hours. Twenty schedulers for ten minutes: make testbed SCENARIO=crates/testbed/scenarios/members-long.toml
 HOURS ?= 2
 members:
-	cargo run --release --locked --quiet -p postusher-lab --example members -- "$(OUT)" $(HOURS)
+	cargo run --release --locked --quiet -p postusher-testbed --example members -- "$(OUT)" $(HOURS)
 
 # All 15 million states of four members; by hand, a quarter of an hour.
 members-model:
-	cargo test --release --locked -p postusher-members --test model -- --ignored --nocapture
+	cargo test --release --locked -p postusher-membership --test model -- --ignored --nocapture
 
 # How the waiting room's costs grow; by hand, as figures of a busy machine mean nothing.
 bench:
-	cargo bench --locked -p postusher-waiting
-	cargo run --release --locked --quiet -p postusher-waiting --example memory
+	cargo bench --locked -p postusher-deferred-jobs
+	cargo run --release --locked --quiet -p postusher-deferred-jobs --example memory
 
 # All tests but those that KNOWN-RED.txt names (`test | cause | issue`, one a line); these are printed, not run.
 KNOWN_RED = $(shell sed -n 's/^\([A-Za-z0-9_:]\{1,\}\) *|.*/\1/p' KNOWN-RED.txt)
--- a/src/rules/admission.rs
+++ b/crates/decision/src/rules/admission.rs
@@ -5,8 +5,8 @@
 const RETRY_RATIO: f64 = 0.2; // further attempts for each arrival: for one sick worker in five, no storm
 const PROBE_RATIO: f64 = 1.0; // probes for each arrival; three times as many are kept for later
 pub(crate) const AFFORD: f64 = 0.7; // part of a job's slack that waiting may use
-const BY_STARTS: f64 = 3.0; // part of that, as a divisor, where queues are known in the mean, or to siblings
-const UNSEEN: f64 = 2.5; // the same by reports, for siblings tenfold: they come late, and more seldom
+const BY_STARTS: f64 = 3.0; // part of that, as a divisor, where queues are known in the mean, or to scheduler_count
+const UNSEEN: f64 = 2.5; // the same by reports, for scheduler_count tenfold: they come late, and more seldom
 const SAVED: f64 = 3.0; // seconds of its share that a customer who asks for less keeps for later, and ...
 const OWED: f64 = 8.0; // ... that one who asks for more owes at most, for what was lent to it
 const FEW: f64 = 2.0; // or so many jobs, where a dispatcher sees fewer of a customer in that time
@@ -26,19 +26,19 @@
     }
 
     /// A job comes with attempts: those out hold tokens here as they did there, and rule 2 knows of all.
-    pub(crate) fn adopted(&mut self, job: Job, begun: &[Begun], out: &mut Vec<Action>) {
+    pub(crate) fn adopted(&mut self, job: Job, begun: &[PriorAttempt], out: &mut Vec<Action>) {
         let id = job.id;
         if !self.enter(job, out) {
             return;
         }
-        for (b, leg) in begun.iter().zip(0..) {
+        for (b, attempt) in begun.iter().zip((0..).map(AttemptId)) {
             let path = self.workers.get(&b.worker).map_or(0, |w| self.path(w));
-            self.resume(id, leg, b, path);
+            self.resume(id, attempt, b, path);
             self.sync(b.worker);
         }
         let waits = self.line_up(id, out);
-        self.requests.entry(id).and_modify(|r| r.waits &= r.legs.is_empty());
-        if !waits && begun.iter().all(|b| !b.out) {
+        self.requests.entry(id).and_modify(|r| r.waits &= r.attempts.is_empty());
+        if !waits && begun.iter().all(|b| !b.pending) {
             self.place(id, out);
         }
     }
@@ -47,8 +47,8 @@
         if self.requests.contains_key(&job.id) {
             return false;
         }
-        let (id, after) = (job.id, job.expires.saturating_sub(self.now));
-        let none = || Arc::new(Class::new(Effect::Once, 1)); // what settings lack is handled with most care
+        let (id, after) = (job.id, job.deadline.saturating_sub(self.now));
+        let none = || Arc::new(Class::new(Idempotency::NotIdempotent, 1)); // what settings lack is handled with most care
         let class = self.classes.get(usize::from(job.class)).cloned().unwrap_or_else(none);
         self.asked.push(job.key, ASKED);
         let many = (KEEP_LOAD * self.asked.share(job.key, self.scouts) * self.round.len() as f64) as usize;
@@ -61,7 +61,7 @@
         let ratio = if self.scouts { SCOUTS as f64 } else { PROBE_RATIO };
         self.probes.earn(if self.asks { ratio } else { 0.0 }, 3.0 * ratio);
         self.requests.insert(id, r);
-        out.push(Action::Wake { after, cookie: Cookie::Guard(id).into() });
+        out.push(Action::SetTimer { after, timer: Cookie::Guard(id).into() });
         true
     }
 
@@ -84,14 +84,14 @@
         if ahead > slack {
             self.turn_away(id, out);
         } else {
-            out.push(Action::Wake { after: slack as Micros, cookie: Cookie::Restless(id).into() });
+            out.push(Action::SetTimer { after: slack as Micros, timer: Cookie::Restless(id).into() });
         }
         true
     }
 
     /// Seizes tokens for a job, or gives it its refusal at once. Returns where it looked.
     pub(crate) fn place(&mut self, id: JobId, out: &mut Vec<Action>) -> Vec<WorkerId> {
-        if !self.goes_by_list(self.now) {
+        if !self.is_list_current(self.now) {
             self.hold_for_list(id, out);
             return Vec::new();
         }
@@ -100,9 +100,9 @@
             return Vec::new();
         }
         let Some(r) = self.requests.get(&id) else { return Vec::new() };
-        let (open, next) = (r.job.expires > self.now && self.may_send(r), self.next_for(r, LOOK));
+        let (open, next) = (r.job.deadline > self.now && self.may_send(r), self.next_for(r, LOOK));
         // What is hardly over by its deadline has to start at once, as all does where nobody tells who waits.
-        let fits = (r.job.expires - self.now.min(r.job.expires)) as f64 > self.expected(r);
+        let fits = (r.job.deadline - self.now.min(r.job.deadline)) as f64 > self.expected(r);
         let most = self.affords(r, standing).min(if fits && !self.scouting() { i64::MAX } else { 0 });
         match open.then(|| self.pick(r, &next, most)).flatten() {
             Some(worker) => self.send(id, worker, out),
@@ -120,7 +120,7 @@
         }
         let asked = self.refresh(Some(id), &[], out);
         self.requests.entry(id).and_modify(|r| r.asked = Some(asked));
-        let wake = Action::Wake { after: SCOUTED, cookie: Cookie::Scouted(id).into() };
+        let wake = Action::SetTimer { after: SCOUTED, timer: Cookie::Scouted(id).into() };
         out.extend((asked > 0).then_some(wake));
         asked > 0
     }
@@ -136,25 +136,25 @@
     }
 
     /// How a customer stands: 0 within its share, down to -1 where it owes all it can; refusals owe nothing.
-    /// Where even the middle one brings more than its part, this dispatcher has more than its siblings.
+    /// Where even the middle one brings more than its part, this dispatcher has more than its scheduler_count.
     fn standing(&mut self, customer: u16) -> f64 {
-        let part = self.usual_use().clamp(1.0, self.siblings) / self.siblings;
+        let part = self.usual_use().clamp(1.0, self.scheduler_count) / self.scheduler_count;
         let (all, n) = (&self.set.customers, usize::from(customer));
         let Some((c, account)) = all.get(n).zip(self.accounts.get_mut(n)) else {
             return if all.is_empty() { 0.0 } else { -1.0 };
         };
-        let rate = c.quota * part;
+        let rate = c.quota_per_second * part;
         let (saved, owed) = ((rate * SAVED).max(FEW), (rate * OWED).max(FEW));
         account.earn(rate, self.now, -owed, saved);
         (account.left / owed).min(0.0)
     }
 
     /// Where no job would start at once: the most slots to wait for that it can afford; below 0, so many must
-    /// be left free. Shares fit into the fleet, so what siblings send unseen yields to who is in its share.
+    /// be left free. Shares fit into the fleet, so what scheduler_count send unseen yields to who is in its share.
     fn affords(&self, r: &Request, standing: f64) -> i64 {
-        // Starts tell of queues only in the mean; where nothing does, a few siblings add as much unseen.
-        let blind = if self.hides { BY_STARTS } else { self.siblings.min(BY_STARTS) };
-        let unseen = if self.told { 1.0 + UNSEEN * self.siblings.log10() } else { blind };
+        // Starts tell of queues only in the mean; where nothing does, a few scheduler_count add as much unseen.
+        let blind = if self.hides { BY_STARTS } else { self.scheduler_count.min(BY_STARTS) };
+        let unseen = if self.told { 1.0 + UNSEEN * self.scheduler_count.log10() } else { blind };
         let unseen = if self.set.customers.is_empty() { unseen } else { 1.0 };
         let slots = AFFORD * self.slack(r, 1.0) * self.mean_slots.or(1.0) / self.run.or(1.0);
         let slots = (slots / unseen).min(DEFAULT_TOKENS as f64);
@@ -166,8 +166,8 @@
         let Some(r) = self.requests.get(&id) else { return };
         let harmless = self.may_refuse(r);
         let release = (self.expected(r) / self.requests.len() as f64) as Micros;
-        let retry_after = release.min(self.set.max_retry_after) * Micros::from(self.set.retry_after);
-        out.push(if harmless { Action::Refuse { job: id, retry_after } } else { Action::Fail { job: id } });
+        let retry_after = release.min(self.set.max_retry_after) * Micros::from(self.set.sends_retry_after);
+        out.push(if harmless { Action::Reject { job: id, retry_after } } else { Action::Fail { job: id } });
         self.close(id, out);
     }
 }
--- a/src/rules/choice.rs
+++ b/crates/decision/src/rules/choice.rs
@@ -15,9 +15,9 @@
         let room = self.room(w).min(if unheard { -99 } else { i64::MAX });
         // Placement binds every attempt; none goes where one went before, but for a connection's fault.
         let wished = self.wishes.get(&r.job.id).is_some_and(|(id, _)| *id == w.member.worker);
-        let open = r.class.open_to(w.member.zone, w.member.kind);
-        let open = open && (wished || w.member.readiness != Readiness::Reserved);
-        if !open || r.legs.iter().any(|l| l.worker == w.member.worker && !l.stale) {
+        let open = r.class.allows(w.member.zone, w.member.kind);
+        let open = open && (wished || w.member.state != EndpointState::Reserved);
+        if !open || r.attempts.iter().any(|l| l.worker == w.member.worker && !l.stale) {
             return None;
         }
         // The coldest are spared: as if one slot had to be waited for.
@@ -26,13 +26,13 @@
         let lacks =
             if most < 0 || scouting && r.asked.is_some() { k - room } else { wait - (fetch - 1).max(0) };
         let enough = lacks <= most && (room >= k || warmth >= 1.0 && !w.on_trial());
-        let allowed = match r.class.effect {
-            Effect::Repeatable => true,
+        let allowed = match r.class.idempotency {
+            Idempotency::Idempotent => true,
             // A keyed job that may have run stays with the workers that drop its repeats.
-            Effect::ByKey { group, .. } => r.first_run().is_none_or(|first| {
-                self.workers.get(&first.worker).is_some_and(|f| f.member.drops_repeats_of(&w.member, group))
+            Idempotency::ByKey { scope, .. } => r.first_run().is_none_or(|first| {
+                self.workers.get(&first.worker).is_some_and(|f| f.member.deduplicates_with(&w.member, scope))
             }),
-            Effect::Once => !w.on_trial(),
+            Idempotency::NotIdempotent => !w.on_trial(),
         };
         let unit = self.run.or(REPORT_SPAN as f64);
         let spent = warmth < 1.0 && (self.credit(w) < unit || self.work(r) > self.cold_budget(w));
@@ -50,21 +50,23 @@
     fn price(&self, r: &Request, w: &Worker) -> i64 {
         let (path, part) = (self.path(w), |is: bool, price: f64| if is { (price * 1e6) as i64 } else { 0 });
         // Jobs that may go anywhere leave those workers alone that bound classes depend on.
-        let needed = |c: &Arc<Class>| c.is_bound() && c.open_to(w.member.zone, w.member.kind);
-        let spare = self.placed && !r.class.is_bound() && self.classes.iter().any(needed);
-        let way = part(path & 1 > 0, self.set.connect_price) + part(path & 2 > 0, self.set.cross_zone_price);
-        way + part(r.lacks_at(w), self.set.fetch_price) + part(spare, 1.0)
+        let needed = |c: &Arc<Class>| c.is_restricted() && c.allows(w.member.zone, w.member.kind);
+        let spare = self.placed && !r.class.is_restricted() && self.classes.iter().any(needed);
+        let way = part(path & 1 > 0, self.set.connection_cost) + part(path & 2 > 0, self.set.cross_zone_cost);
+        way + part(r.lacks_at(w), self.set.fetch_cost) + part(spare, 1.0)
     }
 
     /// The workers that a job may go to, those next in bucket order: of its group, of its places, or all.
     pub(crate) fn next_for(&self, r: &Request, n: usize) -> Vec<WorkerId> {
         let first = r.first_run().and_then(|l| self.workers.get(&l.worker)).map(|w| &w.member);
-        let (shelf, zone) = match (r.class.effect, first) {
-            (Effect::ByKey { group: Group::Cell, .. }, Some(m)) => (Some(Shelf::Cell(m.cell)), None),
-            (Effect::ByKey { group: Group::Zone, .. }, Some(m)) => (None, Some(m.zone)),
-            _ => ((!r.class.is_bound()).then_some(Shelf::All), None),
+        let (shelf, zone) = match (r.class.idempotency, first) {
+            (Idempotency::ByKey { scope: DeduplicationScope::Cell, .. }, Some(m)) => {
+                (Some(Shelf::Cell(m.cell)), None)
+            }
+            (Idempotency::ByKey { scope: DeduplicationScope::Zone, .. }, Some(m)) => (None, Some(m.zone)),
+            _ => ((!r.class.is_restricted()).then_some(Shelf::All), None),
         };
-        let open = |z, k| r.class.open_to(z, k) && zone.is_none_or(|zone| zone == z);
+        let open = |z, k| r.class.allows(z, k) && zone.is_none_or(|zone| zone == z);
         shelf.map_or_else(|| self.bucket.in_places(open, n), |shelf| self.bucket.on(shelf, n))
     }
 
--- a/src/rules/health.rs
+++ b/crates/decision/src/rules/health.rs
@@ -36,9 +36,9 @@
     pub(crate) fn overdue(&mut self, id: WorkerId) {
         let Some(w) = self.workers.get(&id).filter(|w| !w.ejected()) else { return };
         let mut strain = w.strain;
-        for (r, l) in self.legs_at(id) {
-            let due = l.heard + 2 * self.set.progress;
-            let silent = l.started.is_some() && self.set.progress > 0 && self.now > due;
+        for (r, l) in self.attempts_at(id) {
+            let due = l.heard + 2 * self.set.progress_interval;
+            let silent = l.started.is_some() && self.set.progress_interval > 0 && self.now > due;
             let late = ((self.now - l.sent).max(1) as f64 / self.expected(r)).ln().min(FAILED);
             strain += SMOOTH * (if silent { FAILED } else { late } - strain).max(0.0);
         }
@@ -48,9 +48,9 @@
     }
 
     /// 'Full' answers by class: a worker that turns a class away is left alone by it, for longer each time.
-    pub(crate) fn fares(&mut self, id: WorkerId, class: u16, ending: Ending, roomy: bool) {
-        let full = ending == Ending::Full;
-        let told = full || ending == Ending::Ok;
+    pub(crate) fn fares(&mut self, id: WorkerId, class: u16, result: AttemptResult, roomy: bool) {
+        let full = result == AttemptResult::Overloaded;
+        let told = full || result == AttemptResult::Success;
         let Some(l) = self.learned.get_mut(usize::from(class)).filter(|_| told) else { return };
         l.full += LEARN * (f64::from(full) - l.full);
         if let Some(shut) = self.workers.get_mut(&id).map(|w| w.shut_for(class)) {
--- a/src/rules/learning.rs
+++ b/crates/decision/src/rules/learning.rs
@@ -9,18 +9,18 @@
 const FAR_PROBES: f64 = 0.4; // of the probes drawn for other zones these are sent: most jobs stay near
 
 impl Dispatcher {
-    /// A load report: what we hold already plus what is free is what we may have; siblings' work is in it.
+    /// A load report: what we hold already plus what is free is what we may have; scheduler_count' work is in it.
     pub(crate) fn report(&mut self, id: WorkerId, report: &[f64], chance: bool) {
-        let Some(free) = self.set.reported(Field::FreeSlots, report) else { return };
-        let queue = self.set.reported(Field::Queue, report);
+        let Some(free) = self.set.report_value(ReportField::FreeSlots, report) else { return };
+        let queue = self.set.report_value(ReportField::QueueLength, report);
         let queue = queue.unwrap_or(if free < 1.0 { self.hidden() } else { 0.0 });
         // A wide job at the head of the line keeps slots free that others wait for.
-        let jobs = self.set.reported(Field::Jobs, report).unwrap_or(0.0) * self.mean_k.or(1.0);
-        // A late report makes all siblings turn to the same workers at once: only its mean is of use.
-        let span = (self.siblings * REPORT_SPAN as f64).min(2.0 * self.run.or(REPORT_SPAN as f64));
-        let (now, tells) = (self.now, self.set.tells_start);
-        let there = |l: &Leg| if tells { l.started.is_some() } else { l.sent + REPORT_LAG <= now };
-        let seen: i64 = self.legs_at(id).filter(|(_, l)| there(l)).map(|(r, _)| r.k).sum();
+        let jobs = self.set.report_value(ReportField::Jobs, report).unwrap_or(0.0) * self.mean_k.or(1.0);
+        // A late report makes all scheduler_count turn to the same workers at once: only its mean is of use.
+        let span = (self.scheduler_count * REPORT_SPAN as f64).min(2.0 * self.run.or(REPORT_SPAN as f64));
+        let (now, tells) = (self.now, self.set.reports_start);
+        let there = |l: &Attempt| if tells { l.started.is_some() } else { l.sent + REPORT_LAG <= now };
+        let seen: i64 = self.attempts_at(id).filter(|(_, l)| there(l)).map(|(r, _)| r.k).sum();
         let known = self.widen(id, free);
         let Some(w) = self.workers.get_mut(&id) else { return };
         let (others, since) =
@@ -57,17 +57,26 @@
             if !skip && (id.is_none() || asked < SCOUTS) && self.probes.spend() {
                 asked += 1;
                 self.workers.entry(worker).and_modify(|w| w.probing = Some(id));
-                out.push(Action::Probe { worker });
+                out.push(Action::CheckHealth { worker });
             }
             known += usize::from(!fresh || room);
         }
         asked
     }
 
-    pub(crate) fn probed(&mut self, id: WorkerId, ending: Ending, report: &[f64], out: &mut Vec<Action>) {
+    pub(crate) fn probed(
+        &mut self,
+        id: WorkerId,
+        result: AttemptResult,
+        report: &[f64],
+        out: &mut Vec<Action>,
+    ) {
         self.report(id, report, true);
         let by = self.workers.get_mut(&id).and_then(|w| w.probing.take()).flatten();
-        if !matches!(ending, Ending::Ok | Ending::Full | Ending::Stale) {
+        if !matches!(
+            result,
+            AttemptResult::Success | AttemptResult::Overloaded | AttemptResult::StaleConnection
+        ) {
             self.observe(id, FAILED);
         }
         self.sync(id);
--- a/src/rules/list.rs
+++ b/crates/decision/src/rules/list.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether jobs may go by the list held at a time.
-    pub fn goes_by_list(&self, now: Micros) -> bool {
+    pub fn is_list_current(&self, now: Micros) -> bool {
         match self.trust {
             ListTrust::Confirmed => true,
             ListTrust::Unconfirmed { since } => now >= since + UNCONFIRMED,
@@ -30,19 +30,21 @@
         }
     }
 
-    pub(crate) fn members(&mut self, kind: ListKind, members: Vec<Member>, out: &mut Vec<Action>) {
+    pub(crate) fn members(&mut self, kind: ListUpdate, members: Vec<Endpoint>, out: &mut Vec<Action>) {
         match kind {
-            ListKind::Begun { at } => return self.list_replaced(at),
-            ListKind::Failed => return self.list_call_failed(out),
-            ListKind::Cached => self.list_known(out),
-            ListKind::Delta | ListKind::Full => (self.list_failures, self.trust) = (0, ListTrust::Confirmed),
+            ListUpdate::AnswerStarted { at } => return self.list_replaced(at),
+            ListUpdate::Failed => return self.list_call_failed(out),
+            ListUpdate::Cached => self.list_known(out),
+            ListUpdate::Changes | ListUpdate::Complete => {
+                (self.list_failures, self.trust) = (0, ListTrust::Confirmed)
+            }
         }
         // A full list removes what it does not name.
-        let gone = if kind == ListKind::Delta { Vec::new() } else { self.unlisted(&members) };
-        gone.into_iter().for_each(|m| self.member(Member { readiness: Readiness::Gone, ..m }));
+        let gone = if kind == ListUpdate::Changes { Vec::new() } else { self.unlisted(&members) };
+        gone.into_iter().for_each(|m| self.member(Endpoint { state: EndpointState::Removed, ..m }));
         members.into_iter().for_each(|m| self.member(m));
         self.count_ready();
-        if kind == ListKind::Cached {
+        if kind == ListUpdate::Cached {
             self.bucket.shuffle(&mut self.rng); // dispatchers must not all begin with the same worker
         }
         self.place_held(out);
@@ -60,11 +62,11 @@
 
     /// The list of before the start: it is asked for soon, by all dispatchers in turn.
     fn list_known(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Wake { after: TICK, cookie: Cookie::Tick.into() });
-        let spread = (self.siblings * LIST_CALL).min(self.set.ask_within as f64 / 4.0);
+        out.push(Action::SetTimer { after: TICK, timer: Cookie::Tick.into() });
+        let spread = (self.scheduler_count * LIST_CALL).min(self.set.poll_interval as f64 / 4.0);
         let after = (spread * self.rng.next()) as Micros;
-        let ask = Action::Wake { after, cookie: Cookie::List.into() };
-        out.extend(self.set.must_ask.then_some(ask));
+        let ask = Action::SetTimer { after, timer: Cookie::List.into() };
+        out.extend(self.set.list_is_polled.then_some(ask));
     }
 
     /// A shared service is asked later and later, an agent at once: after 6 s all counts as told. Where it
@@ -72,24 +74,24 @@
     fn list_call_failed(&mut self, out: &mut Vec<Action>) {
         let moved = self.list_moved.is_some_and(|at| self.now < at + MOVE);
         let replaced = matches!(self.trust, ListTrust::Replaced { .. });
-        let soon = !self.set.must_ask || moved || replaced && self.list_failures < SOON_RETRIES;
-        let most = if self.set.must_ask { self.set.ask_within } else { self.set.drain_grace };
+        let soon = !self.set.list_is_polled || moved || replaced && self.list_failures < SOON_RETRIES;
+        let most = if self.set.list_is_polled { self.set.poll_interval } else { self.set.drain_grace };
         let step = (FIRST_RETRY << if soon { 0 } else { self.list_failures.min(3) }).min(most / 4);
         self.list_failures += 1;
         let after = (step as f64 * (0.5 + self.rng.next())) as Micros;
-        out.push(Action::Wake { after, cookie: Cookie::List.into() });
+        out.push(Action::SetTimer { after, timer: Cookie::List.into() });
     }
 
     /// The list cannot be gone by: a job waits for it as long as it can still be in time after that.
     pub(crate) fn hold_for_list(&mut self, id: JobId, out: &mut Vec<Action>) {
         let Some(r) = self.requests.get(&id).filter(|r| !r.answered) else { return };
         let wait = (AFFORD * self.slack(r, 1.0)) as Micros;
-        let until = r.list_wait.unwrap_or((self.now + wait).min(r.job.expires));
+        let until = r.list_wait.unwrap_or((self.now + wait).min(r.job.deadline));
         if self.now >= until {
             return self.turn_away(id, out);
         }
         if r.list_wait.is_none() {
-            out.push(Action::Wake { after: until - self.now, cookie: Cookie::ListWait(id).into() });
+            out.push(Action::SetTimer { after: until - self.now, timer: Cookie::ListWait(id).into() });
         }
         self.requests.entry(id).and_modify(|r| r.list_wait = Some(until));
         if !self.held.contains(&id) {
@@ -106,7 +108,7 @@
             return;
         }
         // Guards against: a timer that comes a microsecond early, and a job that would then wait for nothing.
-        if self.goes_by_list(self.now) {
+        if self.is_list_current(self.now) {
             self.place(id, out);
         } else {
             self.turn_away(id, out);
@@ -115,7 +117,7 @@
 
     /// The list is confirmed: what has waited for it goes, in the order in which it came.
     fn place_held(&mut self, out: &mut Vec<Action>) {
-        if !self.goes_by_list(self.now) {
+        if !self.is_list_current(self.now) {
             return;
         }
         for id in std::mem::take(&mut self.held) {
--- a/src/rules/mod.rs
+++ b/crates/decision/src/rules/mod.rs
@@ -35,25 +35,31 @@
     pub fn handle(&mut self, event: Event, now: Micros, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Members { kind, members } => self.members(kind, members, out),
-            Event::ListMoved => {
+            Event::EndpointList { update, endpoints } => self.members(update, endpoints, out),
+            Event::DiscoveryMoved => {
                 (self.list_failures, self.list_moved) = (0, Some(self.now));
-                out.push(Action::Subscribe);
+                out.push(Action::WatchEndpoints);
             }
-            Event::TakenOut(id) => self.taken(id, true),
-            Event::TakenBack(id) => self.taken(id, false),
-            Event::Wished { job, worker, only } => drop(self.wishes.insert(job, (worker, only))),
-            Event::Arrived(job) => self.arrived(job, out),
+            Event::WorkerDisabled(id) => self.taken(id, true),
+            Event::WorkerEnabled(id) => self.taken(id, false),
+            Event::PlacementOverride { job, worker, required } => {
+                self.wishes.insert(job, (worker, required));
+            }
+            Event::JobArrived(job) => self.arrived(job, out),
             Event::Learned(memory) => self.remember(&memory),
-            Event::Adopted { job, begun } => self.adopted(job, &begun, out),
-            Event::Started { job, leg } | Event::Progress { job, leg, .. } => self.note(job, leg, out),
-            Event::Streaming { job, .. } => drop(self.requests.entry(job).and_modify(|r| r.streaming = true)),
-            Event::Settled(outcome) => self.settled(outcome, out),
-            Event::ClientGone(job) => self.close(job, out),
-            Event::Probed { worker, ending, report } => self.probed(worker, ending, &report, out),
-            Event::Timer(cookie) => match Cookie::read(cookie) {
+            Event::JobAdopted { job, attempts } => self.adopted(job, &attempts, out),
+            Event::JobStarted { job, attempt } | Event::JobProgressed { job, attempt, .. } => {
+                self.note(job, attempt, out)
+            }
+            Event::AnswerStreaming { job, .. } => {
+                self.requests.entry(job).and_modify(|r| r.streaming = true);
+            }
+            Event::AttemptEnded(outcome) => self.settled(outcome, out),
+            Event::ClientDisconnected(job) => self.close(job, out),
+            Event::HealthCheckEnded { worker, result, report } => self.probed(worker, result, &report, out),
+            Event::TimerExpired(cookie) => match Cookie::read(cookie) {
                 Some(Cookie::Tick) => self.tick(out),
-                Some(Cookie::List) => out.push(Action::Subscribe),
+                Some(Cookie::List) => out.push(Action::WatchEndpoints),
                 Some(Cookie::Guard(id)) => self.guard(id, out),
                 Some(Cookie::Restless(id)) => self.restless(id, out),
                 Some(Cookie::Rested(id)) => self.close(id, out),
@@ -70,24 +76,26 @@
         }
     }
 
-    fn member(&mut self, m: Member) {
+    fn member(&mut self, m: Endpoint) {
         let id = m.worker;
         // Bound jobs and repeats that must stay in a group find their few workers in a fleet of any size.
         self.bucket.shelve(id, self.shelves(&m));
         match self.workers.get_mut(&id) {
-            Some(w) if w.member.up_since == m.up_since || m.readiness == Readiness::Gone => w.member = m,
+            Some(w) if w.member.started_at == m.started_at || m.state == EndpointState::Removed => {
+                w.member = m
+            }
             _ => self.renew(m, 0),
         }
         self.sync(id);
     }
 
     /// A restart makes what was known of a worker void, but not the tokens still out.
-    fn renew(&mut self, m: Member, back: Micros) {
+    fn renew(&mut self, m: Endpoint, back: Micros) {
         let (id, old) = (m.worker, self.workers.get_mut(&m.worker));
-        let (held, legs) = old.map_or((0, Vec::new()), |w| (w.held, std::mem::take(&mut w.out)));
+        let (held, attempts) = old.map_or((0, Vec::new()), |w| (w.held, std::mem::take(&mut w.out)));
         self.bucket.shrink(id, i64::MAX);
         let credit = self.rng.next() * self.run.or(REPORT_SPAN as f64);
-        self.workers.insert(id, Worker { back, ..Worker::new(m, held, legs, credit, self.now) });
+        self.workers.insert(id, Worker { back, ..Worker::new(m, held, attempts, credit, self.now) });
         self.cold.push_back(id);
     }
 
@@ -102,7 +110,7 @@
     }
 
     fn tick(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::Wake { after: TICK, cookie: Cookie::Tick.into() });
+        out.push(Action::SetTimer { after: TICK, timer: Cookie::Tick.into() });
         self.lay *= 0.96; // lets go within seconds, when nothing is sent that could tell
         self.middle = self.usual_of_most(3 * USUAL as Micros);
         self.current = self.up_to_date();
--- a/src/rules/tokens.rs
+++ b/crates/decision/src/rules/tokens.rs
@@ -45,7 +45,7 @@
         let Some(w) = self.workers.get(&id) else { return };
         let (want, credit) = ((self.count(w) - w.held).max(0), self.credit(w));
         let watch = w.held > 0 || self.takes(w) && w.ejected();
-        let forget = w.member.readiness == Readiness::Gone && w.out.is_empty();
+        let forget = w.member.state == EndpointState::Removed && w.out.is_empty();
         self.bucket.resize(id, want, (!w.on_trial()).then_some(&mut self.rng));
         self.workers.entry(id).and_modify(|w| (w.credit, w.credited) = (credit, self.now));
         let _ = if watch { self.watched.insert(id) } else { self.watched.remove(&id) };
@@ -58,15 +58,16 @@
     /// A cold worker falls over: what all dispatchers together may send it in a fall window, by the odds.
     pub(crate) fn cold_budget(&self, w: &Worker) -> f64 {
         let (unit, slots) = (self.run.or(REPORT_SPAN as f64), self.known(w) as f64 * self.speed(w));
-        let budget = self.set.overload_factor * self.warmth(w) * slots * self.set.fall as f64;
+        let budget = self.set.overload_factor * self.warmth(w) * slots * self.set.overload_window as f64;
         unit * ((CHANCE * CHANCE + budget / unit).sqrt() - CHANCE).powi(2)
     }
 
     /// Each earns credit at its part of the rate, from a start by chance. With a mean job's it may send for
     /// part of a window; then credit lapses, or all would save it up and spend it together.
     pub(crate) fn credit(&self, w: &Worker) -> f64 {
-        let (earned, unit) = (self.cold_budget(w) / self.siblings, self.run.or(REPORT_SPAN as f64));
-        let credit = w.credit + earned * (self.now - w.credited) as f64 / self.set.fall.max(1) as f64;
+        let (earned, unit) = (self.cold_budget(w) / self.scheduler_count, self.run.or(REPORT_SPAN as f64));
+        let credit =
+            w.credit + earned * (self.now - w.credited) as f64 / self.set.overload_window.max(1) as f64;
         let lapse = if earned < unit { earned / 4.0 } else { earned };
         let (most, least) = (unit + lapse, (earned - unit).max(0.0));
         credit - ((credit - most) / (most - least)).ceil().max(0.0) * (most - least)
--- a/src/state/figures.rs
+++ b/crates/decision/src/state/figures.rs
@@ -183,7 +183,7 @@
 
 impl Loads {
     /// Takes in what others take of one of the workers.
-    pub fn learn(&mut self, m: &Member, x: f64, weight: f64) {
+    pub fn learn(&mut self, m: &Endpoint, x: f64, weight: f64) {
         let zone = self.zones.entry(m.zone).or_default();
         let over = x - zone.or(x);
         zone.add(x, weight);
@@ -191,7 +191,7 @@
     }
 
     /// What to take for a worker; the mean of the zones where nothing was heard of its own.
-    pub fn at(&self, m: &Member) -> f64 {
+    pub fn at(&self, m: &Endpoint) -> f64 {
         let zones = self.zones.values().map(|z| z.or(0.0));
         let fleet = || zones.sum::<f64>() / self.zones.len().max(1) as f64;
         let zone = self.zones.get(&m.zone).map_or_else(fleet, |z| z.or(0.0));
--- a/src/state/lookup.rs
+++ b/crates/decision/src/state/lookup.rs
@@ -7,8 +7,8 @@
 impl Dispatcher {
     /// A dispatcher that knows nothing yet; it asks for what it needs at the first event.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
-        let siblings = f64::from(settings.siblings.max(1));
-        let new = Dispatcher { rng: Rng(seed), now, siblings, most_slots: 1, ..Dispatcher::default() };
+        let scheduler_count = f64::from(settings.scheduler_count.max(1));
+        let new = Dispatcher { rng: Rng(seed), now, scheduler_count, most_slots: 1, ..Dispatcher::default() };
         Dispatcher { retries: Budget(RETRIES_KEPT), ..new.with(settings) }
     }
 
@@ -24,12 +24,13 @@
 
     /// Part of its capacity that a worker has at least, by the time since it started or was taken back.
     pub(crate) fn warmth(&self, w: &Worker) -> f64 {
-        let since = w.member.up_since.max(w.back);
+        let since = w.member.started_at.max(w.back);
         let age = self.now.saturating_sub(since);
-        if since == 0 || age >= self.set.warm_after {
+        if since == 0 || age >= self.set.slow_start_duration {
             return 1.0;
         }
-        self.set.cold_from + (1.0 - self.set.cold_from) * age as f64 / self.set.warm_after as f64
+        self.set.initial_capacity
+            + (1.0 - self.set.initial_capacity) * age as f64 / self.set.slow_start_duration as f64
     }
 
     /// How an attempt gets to a worker: 1 by a new connection, 2 to another zone.
@@ -40,18 +41,27 @@
 
     /// Takes in the settings and what follows from them alone.
     pub(crate) fn with(self, set: Settings) -> Self {
-        let group = |c: &Class| if let Effect::ByKey { group, .. } = c.effect { group } else { Group::All };
-        let told = set.fields.iter().any(|f| matches!(f, Field::Queue | Field::Jobs));
+        let group = |c: &Class| {
+            if let Idempotency::ByKey { scope, .. } = c.idempotency {
+                scope
+            } else {
+                DeduplicationScope::Fleet
+            }
+        };
+        let told =
+            set.report_fields.iter().any(|f| matches!(f, ReportField::QueueLength | ReportField::Jobs));
         Dispatcher {
             learned: vec![Learned::default(); set.classes.len()],
             accounts: vec![Account::default(); set.customers.len()],
             classes: set.classes.iter().cloned().map(Arc::new).collect(),
             told,
-            hides: set.tells_start && !told,
-            asks: set.probes && set.fields.contains(&Field::FreeSlots),
-            scouts: set.probes && set.by_probes && set.fields.contains(&Field::FreeSlots),
-            placed: set.classes.iter().any(|c| c.is_bound() || group(c) == Group::Zone),
-            celled: set.classes.iter().any(|c| group(c) == Group::Cell),
+            hides: set.reports_start && !told,
+            asks: set.health_checks_allowed && set.report_fields.contains(&ReportField::FreeSlots),
+            scouts: set.health_checks_allowed
+                && set.reports_by_health_check_only
+                && set.report_fields.contains(&ReportField::FreeSlots),
+            placed: set.classes.iter().any(|c| c.is_restricted() || group(c) == DeduplicationScope::Zone),
+            celled: set.classes.iter().any(|c| group(c) == DeduplicationScope::Cell),
             set,
             ..self
         }
@@ -76,14 +86,15 @@
 
     /// How long a job may lie and still be in time, as far as its running time can be told.
     pub(crate) fn slack(&self, r: &Request, speed: f64) -> f64 {
-        r.class.goal as f64 + (r.class.stretch - 1.0 / speed).max(0.0) * self.expected(r)
+        r.class.latency_objective as f64
+            + (r.class.objective_stretch - 1.0 / speed).max(0.0) * self.expected(r)
     }
 
     /// Calls off attempts of a job that are out: all of them, or those that have not started.
     pub(crate) fn call_off(&mut self, id: JobId, all: bool, out: &mut Vec<Action>) {
-        let open = self.requests.get_mut(&id).filter(|r| self.set.cancel && !r.streaming);
-        let legs = open.map_or(Vec::new(), |r| r.withdraw(all));
-        out.extend(legs.into_iter().map(|leg| Action::Withdraw { job: id, leg }));
+        let open = self.requests.get_mut(&id).filter(|r| self.set.cancellation_allowed && !r.streaming);
+        let attempts = open.map_or(Vec::new(), |r| r.withdraw(all));
+        out.extend(attempts.into_iter().map(|attempt| Action::CancelAttempt { job: id, attempt }));
     }
 
     /// Whether jobs wait for fresh reports: where those of most workers are too old to go by.
@@ -138,10 +149,10 @@
     }
 
     /// Workers that a full list leaves out.
-    pub(crate) fn unlisted(&self, listed: &[Member]) -> Vec<Member> {
+    pub(crate) fn unlisted(&self, listed: &[Endpoint]) -> Vec<Endpoint> {
         let listed: BTreeSet<WorkerId> = listed.iter().map(|m| m.worker).collect();
         let known = self.workers.values().map(|w| &w.member);
-        let mut gone: Vec<Member> = known.filter(|m| !listed.contains(&m.worker)).cloned().collect();
+        let mut gone: Vec<Endpoint> = known.filter(|m| !listed.contains(&m.worker)).cloned().collect();
         gone.sort_unstable_by_key(|m| m.worker);
         gone
     }
@@ -168,8 +179,8 @@
     }
 
     /// Where the tokens of a worker lie.
-    pub(crate) fn shelves(&self, m: &Member) -> Vec<Shelf> {
-        if m.readiness == Readiness::Reserved {
+    pub(crate) fn shelves(&self, m: &Endpoint) -> Vec<Shelf> {
+        if m.state == EndpointState::Reserved {
             return Vec::new(); // found by a wish alone
         }
         let place = self.placed.then_some(Shelf::Place(m.zone, m.kind));
@@ -179,15 +190,17 @@
 
     /// The middle running time to expect of a job on a usual worker.
     pub(crate) fn expected(&self, r: &Request) -> f64 {
-        let hint = r.job.hint.map(|h| h.max(1) as f64);
+        let hint = r.job.size_hint.map(|h| h.max(1) as f64);
         let log = self.learned.get(usize::from(r.job.class)).and_then(|l| l.log.0);
-        log.map_or(hint.unwrap_or(r.class.goal.max(1) as f64), |log| log.exp() * hint.unwrap_or(1.0))
+        log.map_or(hint.unwrap_or(r.class.latency_objective.max(1) as f64), |log| {
+            log.exp() * hint.unwrap_or(1.0)
+        })
     }
 
     /// What a job brings to its worker: slots times the mean running time; by the hint, where there is one.
     pub(crate) fn work(&self, r: &Request) -> f64 {
         let mean = self.learned.get(usize::from(r.job.class)).and_then(|l| l.mean.0);
-        mean.filter(|_| r.job.hint.is_none()).unwrap_or(self.expected(r)).max(1.0) * r.k as f64
+        mean.filter(|_| r.job.size_hint.is_none()).unwrap_or(self.expected(r)).max(1.0) * r.k as f64
     }
 
     /// How fast machines of a worker's kind run, 1 as usual: tokens in this proportion share out the jobs.
@@ -197,36 +210,38 @@
 
     /// How much of a dispatcher's even part of its share the customer in the middle asks for here: of few, the lower.
     pub(crate) fn usual_use(&self) -> f64 {
-        let shares = self.set.customers.iter().map(|c| c.quota / self.siblings).zip(&self.accounts);
+        let shares =
+            self.set.customers.iter().map(|c| c.quota_per_second / self.scheduler_count).zip(&self.accounts);
         let uses: Vec<f64> = shares.filter(|s| s.0 > 0.0).map(|(part, a)| a.asks(self.now) / part).collect();
         let middle = uses.len().saturating_sub(1) / 2;
         nth(uses, middle).unwrap_or(0.0)
     }
 
     /// Keeps an attempt that another process has made; one that is out holds its tokens here, too.
-    pub(crate) fn resume(&mut self, id: JobId, leg: u8, b: &Begun, path: usize) {
-        let ended = if b.ran { LegState::MayHaveRun } else { LegState::NeverRan };
-        let (sent, state) = (self.now.saturating_sub(b.age), if b.out { LegState::Out } else { ended });
+    pub(crate) fn resume(&mut self, id: JobId, attempt: AttemptId, b: &PriorAttempt, path: usize) {
+        let ended = if b.may_have_run { AttemptState::MayHaveRun } else { AttemptState::NeverRan };
+        let (sent, state) =
+            (self.now.saturating_sub(b.age), if b.pending { AttemptState::Pending } else { ended });
         let Some(r) = self.requests.get_mut(&id) else { return };
-        r.legs.push(Leg { sent, state, ..Leg::new(b.worker, self.now, false, path) });
-        if let Some(w) = self.workers.get_mut(&b.worker).filter(|_| b.out) {
-            w.out.push((id, leg));
+        r.attempts.push(Attempt { sent, state, ..Attempt::new(b.worker, self.now, false, path) });
+        if let Some(w) = self.workers.get_mut(&b.worker).filter(|_| b.pending) {
+            w.out.push((id, attempt));
             w.held += r.k;
         }
     }
 
     /// Attempts in flight at a worker.
-    pub(crate) fn legs_at(&self, id: WorkerId) -> impl Iterator<Item = (&Request, &Leg)> {
+    pub(crate) fn attempts_at(&self, id: WorkerId) -> impl Iterator<Item = (&Request, &Attempt)> {
         let out = self.workers.get(&id).into_iter().flat_map(|w| &w.out);
-        out.filter_map(|(job, leg)| {
+        out.filter_map(|(job, attempt)| {
             let r = self.requests.get(job)?;
-            Some((r, r.legs.get(usize::from(*leg))?))
+            Some((r, r.attempts.get(attempt.index())?))
         })
     }
 
     /// Jobs of each customer sent over its share for good, beyond what it owes still; jobs of customers that the
     /// settings don't have are not counted.
-    pub fn over_share(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn over_quota(&self) -> impl Iterator<Item = u64> + '_ {
         self.accounts.iter().map(|account| account.over as u64)
     }
 
@@ -236,13 +251,13 @@
     }
 
     /// Whether a worker's tokens lie out after failures or long times.
-    pub fn ejected(&self, worker: WorkerId) -> bool {
+    pub fn is_ejected(&self, worker: WorkerId) -> bool {
         self.workers.get(&worker).is_some_and(Worker::ejected)
     }
 
     /// Whether a worker gets nothing new although its list lets it.
     pub fn avoids(&self, worker: WorkerId) -> bool {
-        self.taken_out.contains(&worker) || self.ejected(worker)
+        self.taken_out.contains(&worker) || self.is_ejected(worker)
     }
 
     /// Whether the list and the operators let a worker take jobs.
@@ -256,13 +271,13 @@
     }
 
     /// What the fleet has room for now. Costs time in proportion to the number of workers.
-    pub fn vacancy(&self) -> Vacancy {
-        let mut sum = Vacancy::default();
+    pub fn free_capacity(&self) -> FreeCapacity {
+        let mut sum = FreeCapacity::default();
         for (id, w) in self.workers.iter().filter(|(_, w)| self.takes(w) && !w.ejected()) {
             let free = self.room(w).clamp(0, self.bucket.free(*id)) as u32;
             sum.free += free;
             sum.total += free + w.held.max(0) as u32;
-            sum.widest = sum.widest.max(free);
+            sum.largest_free = sum.largest_free.max(free);
         }
         sum
     }
--- a/src/state/memory.rs
+++ b/crates/decision/src/state/memory.rs
@@ -8,48 +8,54 @@
 
 impl Dispatcher {
     /// All that another process of this dispatcher could go on from.
-    pub fn memory(&self) -> Memory {
-        let health = |w: &Worker| Health {
-            slots: w.slots,
-            others: w.others,
-            reported: (w.reported > 0).then(|| self.now - w.reported.min(self.now)),
-            strain: w.strain,
-            avoided: if w.ejected() { w.ejected_until.saturating_sub(self.now).max(1) } else { 0 },
-            strikes: w.strikes,
+    pub fn learned_state(&self) -> LearnedState {
+        let health = |w: &Worker| WorkerHistory {
+            max_free_slots: w.slots,
+            foreign_slots: w.others,
+            report_age: (w.reported > 0).then(|| self.now - w.reported.min(self.now)),
+            health_score: w.strain,
+            ejected_for: if w.ejected() { w.ejected_until.saturating_sub(self.now).max(1) } else { 0 },
+            consecutive_ejections: w.strikes,
+        };
+        let class = |l: &Learned| ClassEstimates {
+            log_duration: l.log.0,
+            mean_duration: l.mean.0,
+            rejection_rate: l.full,
         };
         let mut workers: Vec<_> = self.workers.iter().map(|(id, w)| (*id, health(w))).collect();
         workers.sort_unstable_by_key(|(id, _)| *id);
         let means = [self.run, self.mean_slots].into_iter().chain(self.starts);
-        Memory {
-            fleet: means.map(|mean| mean.0).collect(),
-            lay: self.lay,
-            recent: self.recent.0.iter().copied().collect(),
-            classes: self.learned.iter().map(|l| (l.log.0, l.mean.0, l.full)).collect(),
+        LearnedState {
+            fleet_means: means.map(|mean| mean.0).collect(),
+            queueing_delay: self.lay,
+            recent_scores: self.recent.0.iter().copied().collect(),
+            classes: self.learned.iter().map(class).collect(),
             kinds: self.kinds.iter().map(|(kind, mean)| (*kind, mean.0)).collect(),
-            accounts: self.accounts.iter().map(|a| a.left).collect(),
+            quota_balances: self.accounts.iter().map(|a| a.left).collect(),
             workers,
         }
     }
 
     /// Goes on from what another process has learned; of workers that are not known here nothing is kept.
-    pub(crate) fn remember(&mut self, memory: &Memory) {
+    pub(crate) fn remember(&mut self, memory: &LearnedState) {
         let [a, b, c, d] = &mut self.starts;
         let means = [&mut self.run, &mut self.mean_slots, a, b, c, d];
-        means.into_iter().zip(&memory.fleet).for_each(|(mean, known)| mean.0 = known.or(mean.0));
-        self.lay = memory.lay;
-        self.recent = Recent(memory.recent.iter().copied().collect());
-        for (l, (log, mean, full)) in self.learned.iter_mut().zip(&memory.classes) {
-            *l = Learned { log: Mean(*log), mean: Mean(*mean), full: *full };
+        means.into_iter().zip(&memory.fleet_means).for_each(|(mean, known)| mean.0 = known.or(mean.0));
+        self.lay = memory.queueing_delay;
+        self.recent = Recent(memory.recent_scores.iter().copied().collect());
+        for (l, c) in self.learned.iter_mut().zip(&memory.classes) {
+            *l = Learned { log: Mean(c.log_duration), mean: Mean(c.mean_duration), full: c.rejection_rate };
         }
         self.kinds = memory.kinds.iter().map(|(kind, mean)| (*kind, Mean(*mean))).collect();
-        for (account, left) in self.accounts.iter_mut().zip(&memory.accounts) {
+        for (account, left) in self.accounts.iter_mut().zip(&memory.quota_balances) {
             (account.left, account.earned) = (*left, self.now.max(1));
         }
         for (id, h) in &memory.workers {
             let Some(w) = self.workers.get_mut(id) else { continue };
-            (w.slots, w.others, w.strain, w.strikes) = (h.slots, h.others, h.strain, h.strikes);
-            w.reported = h.reported.map_or(0, |age| self.now.saturating_sub(age).max(1));
-            w.ejected_until = if h.avoided > 0 { self.now + h.avoided } else { 0 };
+            (w.slots, w.others, w.strain, w.strikes) =
+                (h.max_free_slots, h.foreign_slots, h.health_score, h.consecutive_ejections);
+            w.reported = h.report_age.map_or(0, |age| self.now.saturating_sub(age).max(1));
+            w.ejected_until = if h.ejected_for > 0 { self.now + h.ejected_for } else { 0 };
         }
         memory.workers.iter().for_each(|(id, _)| self.sync(*id));
     }
--- a/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -10,7 +10,7 @@
 
 pub use bucket::{Bucket, Ring, Shelf};
 pub use figures::{Account, Budget, Learned, Loads, Mean, Recent, Rng, Shares};
-pub use request::{Cookie, Leg, LegState, Request};
+pub use request::{Attempt, AttemptState, Cookie, Request};
 pub use worker::Worker;
 
 use crate::interface::*;
@@ -81,7 +81,7 @@
     pub(crate) accounts: Vec<Account>,
     /// Running time over what is expected, as a logarithm, by kind of machine.
     pub(crate) kinds: BTreeMap<u16, Mean>,
-    pub(crate) siblings: f64,
+    pub(crate) scheduler_count: f64,
     /// Most free slots that were reported, by kind of machine; a single high report counts in part.
     pub(crate) widest: BTreeMap<u16, f64>,
     /// Most slots that any job asked for.
--- a/src/state/request.rs
+++ b/crates/decision/src/state/request.rs
@@ -6,17 +6,17 @@
 
 /// How far an attempt has come.
 #[derive(Clone, Copy, PartialEq)]
-pub enum LegState {
-    Out,
+pub enum AttemptState {
+    Pending,
     MayHaveRun,
     NeverRan,
 }
 
 /// One attempt.
-pub struct Leg {
+pub struct Attempt {
     pub worker: WorkerId,
     pub sent: Micros,
-    pub state: LegState,
+    pub state: AttemptState,
     pub heard: Micros,
     pub started: Option<Micros>,
     /// It was sent to a slot that looked free.
@@ -30,11 +30,11 @@
     pub rejected: bool,
 }
 
-impl Leg {
+impl Attempt {
     /// An attempt that goes out now.
     pub fn new(worker: WorkerId, now: Micros, free: bool, path: usize) -> Self {
-        let state = LegState::Out;
-        Leg {
+        let state = AttemptState::Pending;
+        Attempt {
             worker,
             sent: now,
             state,
@@ -55,7 +55,7 @@
     pub class: Arc<Class>,
     /// Tokens that it takes.
     pub k: i64,
-    pub legs: Vec<Leg>,
+    pub attempts: Vec<Attempt>,
     pub answered: bool,
     pub streaming: bool,
     /// The workers that should have what its key needs.
@@ -72,25 +72,26 @@
 
 impl Request {
     /// Marks attempts that are out as withdrawn, all or those not started; gives those not marked before.
-    pub fn withdraw(&mut self, all: bool) -> Vec<u8> {
-        let legs = self.legs.iter_mut().zip(0..);
-        let out = |l: &Leg| l.state == LegState::Out && !l.withdrawn && (all || l.started.is_none());
-        let open = legs.filter(|(l, _)| out(l));
-        open.map(|(l, leg)| {
+    pub fn withdraw(&mut self, all: bool) -> Vec<AttemptId> {
+        let attempts = self.attempts.iter_mut().zip((0..).map(AttemptId));
+        let out =
+            |l: &Attempt| l.state == AttemptState::Pending && !l.withdrawn && (all || l.started.is_none());
+        let open = attempts.filter(|(l, _)| out(l));
+        open.map(|(l, attempt)| {
             l.withdrawn = true;
-            leg
+            attempt
         })
         .collect()
     }
 
     /// A job that has just come.
     pub fn new(job: Job, class: Arc<Class>, keepers: Vec<WorkerId>) -> Self {
-        let (k, legs) = (i64::from(job.slots.clamp(1, 1024)), Vec::new());
+        let (k, attempts) = (i64::from(job.slots.clamp(1, 1024)), Vec::new());
         Request {
             job,
             class,
             k,
-            legs,
+            attempts,
             answered: false,
             streaming: false,
             keepers,
@@ -107,18 +108,18 @@
     }
 
     /// The attempts that are out, with their numbers.
-    pub fn out(&self) -> impl Iterator<Item = (usize, &Leg)> {
-        self.legs.iter().enumerate().filter(|(_, l)| l.state == LegState::Out)
+    pub fn out(&self) -> impl Iterator<Item = (usize, &Attempt)> {
+        self.attempts.iter().enumerate().filter(|(_, l)| l.state == AttemptState::Pending)
     }
 
     /// The key whose turns it takes, if it does.
     pub fn key(&self) -> Option<u64> {
-        Some(self.job.key).filter(|key| *key != 0 && self.class.keep_order)
+        Some(self.job.key).filter(|key| *key != 0 && self.class.ordered_by_key)
     }
 
     /// The first attempt that may have run or is still out.
-    pub fn first_run(&self) -> Option<&Leg> {
-        self.legs.iter().find(|l| l.state != LegState::NeverRan)
+    pub fn first_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|l| l.state != AttemptState::NeverRan)
     }
 }
 
--- a/src/state/worker.rs
+++ b/crates/decision/src/state/worker.rs
@@ -5,7 +5,7 @@
 
 /// A worker as this dispatcher knows it.
 pub struct Worker {
-    pub member: Member,
+    pub member: Endpoint,
     /// Tokens held by attempts.
     pub held: i64,
     /// Most free slots ever reported.
@@ -28,7 +28,7 @@
     /// How classes fare here, where it matters.
     pub shut: Vec<Shut>,
     /// Attempts in flight.
-    pub out: Vec<(JobId, u8)>,
+    pub out: Vec<(JobId, AttemptId)>,
     /// Work that it may be sent while cold, as of a time.
     pub credit: f64,
     pub credited: Micros,
@@ -45,7 +45,7 @@
 
 impl Worker {
     /// A worker just listed; `held` and `out` carry over what an earlier process of it still has.
-    pub fn new(member: Member, held: i64, out: Vec<(JobId, u8)>, credit: f64, now: Micros) -> Self {
+    pub fn new(member: Endpoint, held: i64, out: Vec<(JobId, AttemptId)>, credit: f64, now: Micros) -> Self {
         Worker {
             member,
             held,
@@ -76,9 +76,9 @@
     }
 
     /// An attempt has ended; its tokens are no longer held.
-    pub fn give_back(&mut self, job: JobId, leg: u8, tokens: i64) {
+    pub fn give_back(&mut self, job: JobId, attempt: AttemptId, tokens: i64) {
         self.held = (self.held - tokens).max(0);
-        self.out.retain(|out| *out != (job, leg));
+        self.out.retain(|out| *out != (job, attempt));
     }
 
     /// Whether its tokens lie out.
@@ -93,6 +93,6 @@
 
     /// Whether the list says that it takes jobs.
     pub fn ready(&self) -> bool {
-        matches!(self.member.readiness, Readiness::Ready | Readiness::Reserved)
+        matches!(self.member.state, EndpointState::Ready | EndpointState::Reserved)
     }
 }
--- a/tests/crowd.rs
+++ b/crates/decision/tests/crowd.rs
@@ -6,7 +6,7 @@
 
 mod common;
 use common::*;
-use postusher::*;
+use postusher_decision::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
@@ -31,7 +31,7 @@
 }
 
 /// A try on its way: whose, which job, which attempt, how long it runs.
-type Try = (usize, JobId, u8, Micros);
+type Try = (usize, JobId, AttemptId, Micros);
 
 enum What {
     Asks,
@@ -75,7 +75,7 @@
     first: Micros,
     tries: u32,
     run: Micros,
-    legs: u8,
+    attempts: u8,
 }
 
 /// What became of the jobs first asked for in one second.
@@ -117,7 +117,10 @@
         for n in 0..DISPATCHERS {
             fleet.tell(
                 n,
-                Event::Members { kind: ListKind::Cached, members: (1..=WORKERS).map(member).collect() },
+                Event::EndpointList {
+                    update: ListUpdate::Cached,
+                    endpoints: (1..=WORKERS).map(member).collect(),
+                },
             );
         }
         fleet.after(0, What::Asks);
@@ -160,23 +163,33 @@
             What::Comes { dispatcher, first, tries, run } => {
                 self.serial += 1;
                 let id = JobId(self.serial as u32);
-                self.open.insert((dispatcher, id), Open { sent: 0, first, tries, run, legs: 0 });
-                let expires = self.now + 6 * S;
-                let job = Job { id, class: 0, expires, hint: None, slots: 1, key: 0, customer: 0 };
-                self.tell(dispatcher, Event::Arrived(job));
+                self.open.insert((dispatcher, id), Open { sent: 0, first, tries, run, attempts: 0 });
+                let deadline = self.now + 6 * S;
+                let job = Job { id, class: 0, deadline, size_hint: None, slots: 1, key: 0, customer: 0 };
+                self.tell(dispatcher, Event::JobArrived(job));
             }
             What::Reaches(w, attempt) => {
                 self.queues.entry(w).or_default().waiting.push_back(attempt);
                 self.start(w);
             }
-            What::Ends(w, (d, job, leg, run)) => {
+            What::Ends(w, (d, job, attempt, run)) => {
                 self.queues.entry(w).or_default().running -= 1;
                 self.start(w);
-                let (latency, done, ending) = (run, true, Ending::Ok);
+                let (latency, done, result) = (run, true, AttemptResult::Success);
                 let report = if self.reports == Reports::Answers { self.report(w) } else { Vec::new() };
                 self.after(
                     NET,
-                    What::Told(d, Event::Settled(Outcome { job, leg, ending, latency, done, report })),
+                    What::Told(
+                        d,
+                        Event::AttemptEnded(AttemptOutcome {
+                            job,
+                            attempt,
+                            result,
+                            latency,
+                            job_answered: done,
+                            report,
+                        }),
+                    ),
                 );
             }
             What::Told(d, event) => self.tell(d, event),
@@ -186,12 +199,12 @@
     fn start(&mut self, w: u32) {
         let Some(q) = self.queues.get_mut(&w) else { return };
         if q.running < SLOTS {
-            let Some(attempt) = q.waiting.pop_front() else { return };
+            let Some(next) = q.waiting.pop_front() else { return };
             q.running += 1;
-            let (d, job, leg, run) = attempt;
-            self.after(run, What::Ends(w, attempt));
-            if self.set.tells_start {
-                self.after(NET, What::Told(d, Event::Started { job, leg }));
+            let (d, job, attempt, run) = next;
+            self.after(run, What::Ends(w, next));
+            if self.set.reports_start {
+                self.after(NET, What::Told(d, Event::JobStarted { job, attempt }));
             }
         }
     }
@@ -213,48 +226,60 @@
     /// Hands a dispatcher an event and does what it wants.
     fn tell(&mut self, d: usize, event: Event) {
         let latency = match &event {
-            Event::Settled(o) => self.over(d, o),
+            Event::AttemptEnded(o) => self.over(d, o),
             _ => None,
         };
         let event = match (event, latency) {
-            (Event::Settled(o), Some(latency)) => Event::Settled(Outcome { latency, ..o }),
+            (Event::AttemptEnded(o), Some(latency)) => Event::AttemptEnded(AttemptOutcome { latency, ..o }),
             (event, _) => event,
         };
         let mut out = Vec::new();
         self.dispatchers[d].handle(event, self.now, &mut out);
         for action in out {
             match action {
-                Action::Wake { after, cookie } => self.after(after, What::Told(d, Event::Timer(cookie))),
-                Action::Probe { worker } => {
+                Action::SetTimer { after, timer } => {
+                    self.after(after, What::Told(d, Event::TimerExpired(timer)))
+                }
+                Action::CheckHealth { worker } => {
                     let report = self.report(worker.0);
-                    let told = Event::Probed { worker, ending: Ending::Ok, report };
+                    let told = Event::HealthCheckEnded { worker, result: AttemptResult::Success, report };
                     self.after(2 * NET, What::Told(d, told));
                 }
-                Action::Send { job, worker, .. } => {
+                Action::StartAttempt { job, worker, .. } => {
                     let Some(open) = self.open.get_mut(&(d, job)) else { continue };
-                    let (leg, run) = (open.legs, open.run);
-                    (open.sent, open.legs) = (self.now, leg + 1);
-                    self.after(NET, What::Reaches(worker.0, (d, job, leg, run)));
+                    let (attempt, run) = (AttemptId(open.attempts), open.run);
+                    (open.sent, open.attempts) = (self.now, open.attempts + 1);
+                    self.after(NET, What::Reaches(worker.0, (d, job, attempt, run)));
                 }
                 // Nothing can be called off: it runs to its end, which the dispatcher does not hear of.
-                Action::Withdraw { job, leg } => {
-                    let (latency, done, ending, report) = (0, false, Ending::Cancelled, Vec::new());
+                Action::CancelAttempt { job, attempt } => {
+                    let (latency, done, result, report) = (0, false, AttemptResult::Cancelled, Vec::new());
                     self.after(
                         0,
-                        What::Told(d, Event::Settled(Outcome { job, leg, ending, latency, done, report })),
+                        What::Told(
+                            d,
+                            Event::AttemptEnded(AttemptOutcome {
+                                job,
+                                attempt,
+                                result,
+                                latency,
+                                job_answered: done,
+                                report,
+                            }),
+                        ),
                     );
                 }
-                Action::Refuse { job, .. } | Action::Fail { job } => self.refused(d, job),
-                Action::Subscribe | Action::Disconnect { .. } => {}
+                Action::Reject { job, .. } | Action::Fail { job } => self.refused(d, job),
+                Action::WatchEndpoints | Action::CloseIdleConnections { .. } => {}
             }
         }
     }
 
     /// An attempt has ended; how long it was out, as the dispatcher saw it, where that is this job's first end.
-    fn over(&mut self, d: usize, o: &Outcome) -> Option<Micros> {
-        let open = self.open.get(&(d, o.job)).filter(|_| o.ending == Ending::Ok)?;
+    fn over(&mut self, d: usize, o: &AttemptOutcome) -> Option<Micros> {
+        let open = self.open.get(&(d, o.job)).filter(|_| o.result == AttemptResult::Success)?;
         let took = self.now - open.first;
-        let in_time = took <= self.set.classes[0].goal + (2.0 * open.run as f64) as Micros;
+        let in_time = took <= self.set.classes[0].latency_objective + (2.0 * open.run as f64) as Micros;
         self.seconds
             .get_mut((open.first / S) as usize)
             .into_iter()
@@ -273,17 +298,20 @@
 }
 
 fn told_by(reports: Reports) -> Settings {
-    let one = Class { stretch: 2.0, ..Class::new(Effect::Repeatable, 600 * MS) };
+    let one = Class { objective_stretch: 2.0, ..Class::new(Idempotency::Idempotent, 600 * MS) };
     let probes = reports == Reports::Probes;
-    let fields =
-        if probes { vec![Field::Other, Field::FreeSlots] } else { vec![Field::Jobs, Field::FreeSlots] };
+    let fields = if probes {
+        vec![ReportField::Unused, ReportField::FreeSlots]
+    } else {
+        vec![ReportField::Jobs, ReportField::FreeSlots]
+    };
     Settings {
         classes: vec![one],
-        siblings: DISPATCHERS as u32,
-        probes: true,
-        by_probes: probes,
-        tells_start: probes,
-        fields,
+        scheduler_count: DISPATCHERS as u32,
+        health_checks_allowed: true,
+        reports_by_health_check_only: probes,
+        reports_start: probes,
+        report_fields: fields,
         ..settings()
     }
 }
@@ -309,7 +337,7 @@
 #[test]
 fn a_crowd_that_does_not_pass_is_seen() {
     // The model can fail: dispatchers that wait for no probe, as answers seem to bring reports, stay crowded.
-    let blind = Settings { by_probes: false, ..told_by(Reports::Probes) };
+    let blind = Settings { reports_by_health_check_only: false, ..told_by(Reports::Probes) };
     let after = in_time(&Fleet::play(Reports::Probes, blind, 1), OVER..END);
     assert!(after < 0.5, "in time {after:.2} after the burst");
 }
--- a/tests/customers.rs
+++ b/crates/decision/tests/customers.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use postusher::*;
+use postusher_decision::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 struct End {
     dispatcher: usize,
     job: JobId,
-    leg: u8,
+    attempt: AttemptId,
     worker: u32,
     sent: Micros,
 }
@@ -33,7 +33,7 @@
     count: u32,
     owner: BTreeMap<u32, u16>,
     /// The number of each job's latest attempt.
-    legs: BTreeMap<u32, u8>,
+    attempts: BTreeMap<u32, u8>,
     /// Jobs sent, asked for, and served within two running times, by customer.
     sent: BTreeMap<u16, u32>,
     asked: BTreeMap<u16, u32>,
@@ -44,13 +44,13 @@
 
 impl Fleet {
     fn new(workers: u32, dispatchers: u32, quotas: &[f64]) -> Fleet {
-        let customers = quotas.iter().map(|quota| Customer { quota: *quota }).collect();
+        let customers = quotas.iter().map(|quota| Customer { quota_per_second: *quota }).collect();
         let set = Settings {
-            classes: vec![Class { stretch: 1.0, ..Class::new(Effect::Once, RUN) }],
+            classes: vec![Class { objective_stretch: 1.0, ..Class::new(Idempotency::NotIdempotent, RUN) }],
             customers,
-            siblings: dispatchers,
-            probes: true,
-            tells_start: true,
+            scheduler_count: dispatchers,
+            health_checks_allowed: true,
+            reports_start: true,
             ..settings()
         };
         let now = 100 * S;
@@ -63,14 +63,14 @@
             timers: BTreeMap::new(),
             count: 0,
             owner: BTreeMap::new(),
-            legs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             sent: BTreeMap::new(),
             asked: BTreeMap::new(),
             served: BTreeMap::new(),
         };
         for d in 0..fleet.dispatchers.len() {
-            let members = (0..workers).map(member).collect();
-            fleet.play(d, Event::Members { kind: ListKind::Cached, members });
+            let endpoints = (0..workers).map(member).collect();
+            fleet.play(d, Event::EndpointList { update: ListUpdate::Cached, endpoints });
         }
         fleet
     }
@@ -86,33 +86,41 @@
         for action in actions {
             self.count += 1;
             match action {
-                Action::Wake { after, cookie } => {
-                    self.timers.insert((self.now + after.max(1), self.count), (d, cookie));
+                Action::SetTimer { after, timer } => {
+                    self.timers.insert((self.now + after.max(1), self.count), (d, timer));
                 }
-                Action::Probe { worker } => {
+                Action::CheckHealth { worker } => {
                     let report = self.report(worker.0);
-                    self.play(d, Event::Probed { worker, ending: Ending::Ok, report });
+                    self.play(d, Event::HealthCheckEnded { worker, result: AttemptResult::Success, report });
                 }
-                Action::Send { job, worker, .. } => self.send(d, job, worker.0),
+                Action::StartAttempt { job, worker, .. } => self.send(d, job, worker.0),
                 _ => {}
             }
         }
     }
 
     fn send(&mut self, d: usize, job: JobId, worker: u32) {
-        let leg = self.legs.entry(job.0).and_modify(|leg| *leg += 1).or_default();
-        *self.sent.entry(self.owner[&job.0]).or_default() += u32::from(*leg == 0);
-        let (leg, busy) = (*leg, &mut self.busy[worker as usize]);
+        let attempt = self.attempts.entry(job.0).and_modify(|attempt| *attempt += 1).or_default();
+        *self.sent.entry(self.owner[&job.0]).or_default() += u32::from(*attempt == 0);
+        let (attempt, busy) = (AttemptId(*attempt), &mut self.busy[worker as usize]);
         if busy.len() >= SLOTS + 2 {
-            let o = Outcome { job, leg, ending: Ending::Full, latency: MS, done: false, report: Vec::new() };
-            return self.play(d, Event::Settled(o));
+            let o = AttemptOutcome {
+                job,
+                attempt,
+                result: AttemptResult::Overloaded,
+                latency: MS,
+                job_answered: false,
+                report: Vec::new(),
+            };
+            return self.play(d, Event::AttemptEnded(o));
         }
         busy.sort_unstable();
         let start = if busy.len() < SLOTS { self.now } else { busy[busy.len() - SLOTS] };
         busy.push(start + RUN);
-        self.ends.insert((start + RUN, self.count), End { dispatcher: d, job, leg, worker, sent: self.now });
+        self.ends
+            .insert((start + RUN, self.count), End { dispatcher: d, job, attempt, worker, sent: self.now });
         if start == self.now {
-            self.play(d, Event::Started { job, leg });
+            self.play(d, Event::JobStarted { job, attempt });
         }
     }
 
@@ -123,7 +131,7 @@
             let next = due.into_iter().chain(timer).min().filter(|at| at.0 <= end);
             let Some(at) = next else { break };
             self.now = at.0.max(self.now);
-            if let Some(End { dispatcher, job, leg, worker, sent }) = self.ends.remove(&at) {
+            if let Some(End { dispatcher, job, attempt, worker, sent }) = self.ends.remove(&at) {
                 let busy = &mut self.busy[worker as usize];
                 let gone = busy.iter().position(|over| *over == at.0);
                 gone.map(|n| busy.remove(n));
@@ -131,10 +139,17 @@
                 if latency <= 2 * RUN {
                     *self.served.entry(self.owner[&job.0]).or_default() += 1;
                 }
-                let o = Outcome { job, leg, ending: Ending::Ok, latency, done: true, report };
-                self.play(dispatcher, Event::Settled(o));
-            } else if let Some((d, cookie)) = self.timers.remove(&at) {
-                self.play(d, Event::Timer(cookie));
+                let o = AttemptOutcome {
+                    job,
+                    attempt,
+                    result: AttemptResult::Success,
+                    latency,
+                    job_answered: true,
+                    report,
+                };
+                self.play(dispatcher, Event::AttemptEnded(o));
+            } else if let Some((d, timer)) = self.timers.remove(&at) {
+                self.play(d, Event::TimerExpired(timer));
             }
         }
         self.now = end;
@@ -142,10 +157,13 @@
 
     fn job(&mut self, d: usize, customer: u16) {
         self.jobs += 1;
-        let (id, expires) = (JobId(self.jobs), self.now + 8 * S);
+        let (id, deadline) = (JobId(self.jobs), self.now + 8 * S);
         self.owner.insert(id.0, customer);
         *self.asked.entry(customer).or_default() += 1;
-        self.play(d, Event::Arrived(Job { id, class: 0, expires, hint: None, slots: 1, key: 0, customer }));
+        self.play(
+            d,
+            Event::JobArrived(Job { id, class: 0, deadline, size_hint: None, slots: 1, key: 0, customer }),
+        );
     }
 
     /// Jobs of each customer at a steady rate for so many seconds, from a fixed seed, over all dispatchers.
@@ -178,8 +196,8 @@
     fn granted(&self, customer: u16) -> f64 {
         let n = usize::from(customer);
         let lent = |d: &Dispatcher| {
-            let owed = d.memory().accounts.get(n).map_or(0.0, |left| -left.min(0.0));
-            d.over_share().nth(n).unwrap_or(0) as f64 + owed
+            let owed = d.learned_state().quota_balances.get(n).map_or(0.0, |left| -left.min(0.0));
+            d.over_quota().nth(n).unwrap_or(0) as f64 + owed
         };
         let lent = self.dispatchers.iter().map(lent).sum::<f64>();
         f64::from(self.sent.get(&customer).copied().unwrap_or(0)) - lent
@@ -205,8 +223,8 @@
 const QUOTAS: [f64; 3] = [10.0, 7.0, 7.0];
 
 /// Plays ten seconds in which all is learned, then so many that count.
-fn after_a_start(siblings: u32, quotas: &[f64], rates: &[f64], skew: f64, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(10, siblings, quotas);
+fn after_a_start(scheduler_count: u32, quotas: &[f64], rates: &[f64], skew: f64, seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(10, scheduler_count, quotas);
     fleet.run(10, rates, skew, seed);
     (fleet.asked, fleet.served) = Default::default();
     fleet.run(30, rates, skew, seed + 100);
@@ -215,10 +233,13 @@
 
 #[test]
 fn who_keeps_to_its_share_is_served_beside_one_that_floods() {
-    for (siblings, seed) in [(1, 1), (3, 2), (3, 3)] {
-        let fleet = after_a_start(siblings, &QUOTAS, &[60.0, 6.0, 6.0], 0.0, seed);
+    for (scheduler_count, seed) in [(1, 1), (3, 2), (3, 3)] {
+        let fleet = after_a_start(scheduler_count, &QUOTAS, &[60.0, 6.0, 6.0], 0.0, seed);
         let [flood, one, other] = [0, 1, 2].map(|c| fleet.part(c));
-        assert!(one > 0.97 && other > 0.97, "{siblings} dispatchers: {flood:.2}, {one:.2}, {other:.2}");
+        assert!(
+            one > 0.97 && other > 0.97,
+            "{scheduler_count} dispatchers: {flood:.2}, {one:.2}, {other:.2}"
+        );
         let rate = f64::from(fleet.served[&0]) / 30.0;
         assert!(rate > 1.5 * QUOTAS[0], "its share and what is left go to the one that floods: {rate:.1}");
     }
@@ -259,38 +280,45 @@
 #[test]
 fn shares_granted_are_bounded_in_the_sum_over_dispatchers() {
     let seconds = 60.0;
-    for (siblings, skew, seed) in [(3, 0.0, 1), (3, 0.8, 2), (3, 1.9, 3), (6, 4.5, 4)] {
-        let mut fleet = Fleet::new(10, siblings, &QUOTAS);
+    for (scheduler_count, skew, seed) in [(3, 0.0, 1), (3, 0.8, 2), (3, 1.9, 3), (6, 4.5, 4)] {
+        let mut fleet = Fleet::new(10, scheduler_count, &QUOTAS);
         fleet.run(seconds as u64, &[60.0, 6.0, 6.0], skew, seed);
-        let saved = 3.0 * QUOTAS[0] + 2.0 * f64::from(siblings);
+        let saved = 3.0 * QUOTAS[0] + 2.0 * f64::from(scheduler_count);
         let times = (fleet.granted(0) - saved) / (seconds * QUOTAS[0]);
-        assert!(times < 1.0 + 6.0 / 7.0, "{siblings} dispatchers, skew {skew}: {times:.2} of its quota");
+        assert!(
+            times < 1.0 + 6.0 / 7.0,
+            "{scheduler_count} dispatchers, skew {skew}: {times:.2} of its quota"
+        );
         assert!(times > 0.7, "its share is granted: {times:.2}");
-        assert!(fleet.dispatchers.iter().any(|d| d.over_share().next() > Some(0)), "what is over it is lent");
+        assert!(fleet.dispatchers.iter().any(|d| d.over_quota().next() > Some(0)), "what is over it is lent");
     }
 }
 
 #[test]
 fn a_job_that_another_process_has_sent_is_not_charged_twice() {
-    let set = Settings { customers: vec![Customer { quota: 1.0 }; 2], ..settings() };
+    let set = Settings { customers: vec![Customer { quota_per_second: 1.0 }; 2], ..settings() };
     let mut rig = Rig::new(set, 4);
-    let before = rig.dispatcher.memory().accounts;
+    let before = rig.dispatcher.learned_state().quota_balances;
     let job = |id, customer| Job {
         id: JobId(id),
         class: 2,
-        expires: 200 * S,
-        hint: None,
+        deadline: 200 * S,
+        size_hint: None,
         slots: 1,
         key: 0,
         customer,
     };
-    let out = Begun { worker: WorkerId(1), age: 10 * MS, out: true, ran: true };
-    rig.play(Event::Adopted { job: job(1, 1), begun: vec![out] });
-    assert_eq!(rig.dispatcher.memory().accounts, before, "the account came over with this job taken off");
+    let out = PriorAttempt { worker: WorkerId(1), age: 10 * MS, pending: true, may_have_run: true };
+    rig.play(Event::JobAdopted { job: job(1, 1), attempts: vec![out] });
+    assert_eq!(
+        rig.dispatcher.learned_state().quota_balances,
+        before,
+        "the account came over with this job taken off"
+    );
     // One that has gone nowhere yet is sent from here, and taken off its own customer's account.
-    rig.play(Event::Adopted { job: job(2, 1), begun: Vec::new() });
+    rig.play(Event::JobAdopted { job: job(2, 1), attempts: Vec::new() });
     assert!(rig.sent(2).is_some());
-    let after = rig.dispatcher.memory().accounts;
+    let after = rig.dispatcher.learned_state().quota_balances;
     assert!(after[0] == before[0] && after[1] > 0.0 && after[1] < 3.0, "{before:?}, {after:?}");
 }
 
@@ -307,16 +335,16 @@
 
 #[test]
 fn what_a_customer_owes_goes_over_to_the_next_process() {
-    let set = Settings { customers: vec![Customer { quota: 1.0 }; 2], ..settings() };
+    let set = Settings { customers: vec![Customer { quota_per_second: 1.0 }; 2], ..settings() };
     let mut old = Rig::new(set.clone(), 4);
     for id in 1..=6 {
         assert!(old.job(id, 0, 1).is_some(), "nobody else needs the room");
-        old.settle(id, 0, Ending::Ok);
+        old.settle(id, 0, AttemptResult::Success);
     }
     let mut new = Rig::new(set, 4);
-    new.play(Event::Learned(old.dispatcher.memory()));
-    assert_eq!(new.dispatcher.memory().accounts, old.dispatcher.memory().accounts);
-    assert!(new.dispatcher.memory().accounts[0] < 0.0);
+    new.play(Event::Learned(old.dispatcher.learned_state()));
+    assert_eq!(new.dispatcher.learned_state().quota_balances, old.dispatcher.learned_state().quota_balances);
+    assert!(new.dispatcher.learned_state().quota_balances[0] < 0.0);
 }
 
 proptest! {
--- a/tests/scouting.rs
+++ b/crates/decision/tests/scouting.rs
@@ -2,17 +2,17 @@
 
 mod common;
 use common::*;
-use postusher::*;
+use postusher_decision::*;
 use std::cmp::Reverse;
 
 /// A scheduler of many: reports are old before its next job comes.
 fn asking() -> Settings {
     Settings {
-        by_probes: true,
-        probes: true,
-        tells_start: true,
-        siblings: 300,
-        fields: vec![Field::Other, Field::FreeSlots],
+        reports_by_health_check_only: true,
+        health_checks_allowed: true,
+        reports_start: true,
+        scheduler_count: 300,
+        report_fields: vec![ReportField::Unused, ReportField::FreeSlots],
         ..settings()
     }
 }
@@ -21,7 +21,7 @@
 fn rig(workers: u32) -> Rig {
     let now = 100 * S;
     let mut rig = Rig { dispatcher: Dispatcher::new(asking(), 1, now), now, actions: Vec::new() };
-    rig.members(ListKind::Cached, (1..=workers).map(member).collect());
+    rig.members(ListUpdate::Cached, (1..=workers).map(member).collect());
     rig.now += 60 * S;
     rig.actions.clear();
     rig
@@ -29,12 +29,12 @@
 
 /// The workers asked since the actions were last looked at.
 fn asked(rig: &mut Rig) -> Vec<u32> {
-    let probe = |a: Action| if let Action::Probe { worker } = a { Some(worker.0) } else { None };
+    let probe = |a: Action| if let Action::CheckHealth { worker } = a { Some(worker.0) } else { None };
     rig.actions.drain(..).filter_map(probe).collect()
 }
 
 fn timer(rig: &mut Rig, id: u32) {
-    rig.play(Event::Timer((5 << 32) + u64::from(id)));
+    rig.play(Event::TimerExpired((5 << 32) + u64::from(id)));
 }
 
 #[test]
@@ -44,21 +44,21 @@
     assert_eq!(rig.job(1, 0, 1), None);
     let asked = asked(&mut rig);
     assert_eq!(asked.len(), 3, "{asked:?}");
-    rig.probed(asked[0], Ending::Ok, &[0.0, 0.0]);
-    rig.probed(asked[1], Ending::Ok, &[0.0, 2.0]);
+    rig.probed(asked[0], AttemptResult::Success, &[0.0, 0.0]);
+    rig.probed(asked[1], AttemptResult::Success, &[0.0, 2.0]);
     assert!(rig.actions.is_empty(), "one has not answered: {:?}", rig.actions);
-    rig.probed(asked[2], Ending::Ok, &[0.0, 0.0]);
+    rig.probed(asked[2], AttemptResult::Success, &[0.0, 0.0]);
     assert_eq!(rig.sent(1), Some(asked[1]));
 }
 
 #[test]
 fn a_job_is_refused_where_none_of_those_asked_has_room() {
     let mut rig = rig(40);
-    rig.probed(40, Ending::Ok, &[0.0, 4.0]); // this kind has four slots, but that was long ago
+    rig.probed(40, AttemptResult::Success, &[0.0, 4.0]); // this kind has four slots, but that was long ago
     rig.now += 60 * S;
     assert_eq!(rig.job(1, 0, 1), None);
     let all = asked(&mut rig);
-    all.iter().for_each(|w| rig.probed(*w, Ending::Ok, &[0.0, 0.0]));
+    all.iter().for_each(|w| rig.probed(*w, AttemptResult::Success, &[0.0, 0.0]));
     assert!(rig.refused(1), "{:?}", rig.actions);
 }
 
@@ -66,7 +66,7 @@
 fn silence_is_no_room_once_others_have_answered() {
     // Guards against: probes that wait in a worker's queue, and jobs that are sent there by what was believed.
     let mut rig = rig(40);
-    rig.probed(40, Ending::Ok, &[0.0, 4.0]);
+    rig.probed(40, AttemptResult::Success, &[0.0, 4.0]);
     rig.now += 5 * S;
     assert_eq!(rig.job(1, 0, 1), None);
     rig.now += 30 * MS;
@@ -79,8 +79,8 @@
 fn a_cold_worker_gets_what_it_may_without_being_asked() {
     // Guards against: a release after which the new workers lie idle beside queues at the old ones.
     let mut rig = rig(4);
-    let new = (11..=40).map(|w| Member { up_since: rig.now - 10 * S, ..member(w) }).collect();
-    rig.members(ListKind::Delta, new);
+    let new = (11..=40).map(|w| Endpoint { started_at: rig.now - 10 * S, ..member(w) }).collect();
+    rig.members(ListUpdate::Changes, new);
     let mut cold = 0;
     for id in 1..=40 {
         rig.now += 400 * MS;
@@ -93,10 +93,10 @@
 fn the_few_cold_workers_of_a_large_fleet_are_found() {
     // Guards against: a release that brings few workers at a time, which lie idle as jobs look at the next in the bucket.
     let mut rig = rig(400);
-    rig.dispatcher = Dispatcher::new(Settings { siblings: 1, ..asking() }, 1, rig.now);
-    rig.members(ListKind::Cached, (1..=400).map(member).collect());
-    let new = (501..=502).map(|w| Member { up_since: rig.now - 15 * S, ..member(w) }).collect();
-    rig.members(ListKind::Delta, new);
+    rig.dispatcher = Dispatcher::new(Settings { scheduler_count: 1, ..asking() }, 1, rig.now);
+    rig.members(ListUpdate::Cached, (1..=400).map(member).collect());
+    let new = (501..=502).map(|w| Endpoint { started_at: rig.now - 15 * S, ..member(w) }).collect();
+    rig.members(ListUpdate::Changes, new);
     rig.now += 3 * S;
     assert!(rig.job(1, 0, 1).is_some_and(|w| w > 500), "{:?}", rig.actions);
 }
@@ -106,17 +106,17 @@
     let mut rig = rig(40);
     rig.job(1, 0, 1);
     assert!(
-        rig.actions.contains(&Action::Wake { after: 30 * MS, cookie: (5 << 32) + 1 }),
+        rig.actions.contains(&Action::SetTimer { after: 30 * MS, timer: (5 << 32) + 1 }),
         "{:?}",
         rig.actions
     );
     let asked = asked(&mut rig);
-    rig.probed(asked[0], Ending::Ok, &[0.0, 1.0]);
+    rig.probed(asked[0], AttemptResult::Success, &[0.0, 1.0]);
     rig.now += 30 * MS;
     timer(&mut rig, 1);
     assert_eq!(rig.sent(1), Some(asked[0]));
     rig.actions.clear();
-    rig.probed(asked[1], Ending::Ok, &[0.0, 3.0]);
+    rig.probed(asked[1], AttemptResult::Success, &[0.0, 3.0]);
     timer(&mut rig, 1);
     assert!(rig.sent(1).is_none(), "late answers send nothing twice");
 }
@@ -127,7 +127,7 @@
     let mut rig = rig(40);
     rig.job(1, 0, 1);
     for worker in asked(&mut rig) {
-        rig.probed(worker, Ending::Timeout, &[]);
+        rig.probed(worker, AttemptResult::TimedOut, &[]);
     }
     assert!(rig.sent(1).is_some(), "{:?}", rig.actions);
 }
@@ -137,8 +137,8 @@
     let mut rig = rig(40);
     rig.job(1, 0, 1);
     let asked = asked(&mut rig);
-    rig.play(Event::ClientGone(JobId(1)));
-    asked.iter().for_each(|w| rig.probed(*w, Ending::Ok, &[0.0, 2.0]));
+    rig.play(Event::ClientDisconnected(JobId(1)));
+    asked.iter().for_each(|w| rig.probed(*w, AttemptResult::Success, &[0.0, 2.0]));
     timer(&mut rig, 1);
     assert!(rig.actions.is_empty(), "{:?}", rig.actions);
 }
@@ -148,13 +148,13 @@
     // Guards against: a scheduler with much traffic that has heard of most workers within half a minute, and takes that
     // for knowing where there is room.
     let mut rig = rig(8);
-    (1..=8).for_each(|w| rig.probed(w, Ending::Ok, &[0.0, 3.0]));
+    (1..=8).for_each(|w| rig.probed(w, AttemptResult::Success, &[0.0, 3.0]));
     rig.now += 200 * MS;
-    rig.play(Event::Timer(0));
+    rig.play(Event::TimerExpired(0));
     assert!(rig.job(1, 0, 1).is_some(), "all were heard of just now");
-    rig.settle(1, 0, Ending::Ok);
+    rig.settle(1, 0, AttemptResult::Success);
     rig.now += 10 * S;
-    rig.play(Event::Timer(0));
+    rig.play(Event::TimerExpired(0));
     assert_eq!(rig.job(2, 0, 1), None);
     assert!(!asked(&mut rig).is_empty() && !rig.refused(2), "it waits to hear of room");
 }
@@ -163,11 +163,11 @@
 fn a_full_worker_is_full_however_few_slots_of_it_were_seen_free() {
     // Guards against: no free slot, and none ever seen, taken for one slot that others leave: each scheduler of many
     // hears of a worker first when it is full, and sends it one job.
-    let mut rig = Rig::new(Settings { by_probes: false, ..asking() }, 0);
-    rig.members(ListKind::Full, (1..=2).map(member).collect());
-    rig.probed(1, Ending::Ok, &[0.0, 4.0]);
-    rig.probed(2, Ending::Ok, &[0.0, 0.0]);
-    assert_eq!(rig.dispatcher.vacancy().free, 4);
+    let mut rig = Rig::new(Settings { reports_by_health_check_only: false, ..asking() }, 0);
+    rig.members(ListUpdate::Complete, (1..=2).map(member).collect());
+    rig.probed(1, AttemptResult::Success, &[0.0, 4.0]);
+    rig.probed(2, AttemptResult::Success, &[0.0, 0.0]);
+    assert_eq!(rig.dispatcher.free_capacity().free, 4);
 }
 
 #[test]
@@ -177,10 +177,10 @@
         .map(|seed| {
             let mut rig = Rig::new(settings(), 0);
             rig.dispatcher = Dispatcher::new(settings(), seed, rig.now);
-            rig.members(ListKind::Cached, (1..=20).map(member).collect());
-            let (id, expires) = (JobId(1), rig.now + 5 * S);
-            let job = Job { id, class: 0, expires, hint: None, slots: 1, key: 7, customer: 0 };
-            rig.play(Event::Arrived(job));
+            rig.members(ListUpdate::Cached, (1..=20).map(member).collect());
+            let (id, deadline) = (JobId(1), rig.now + 5 * S);
+            let job = Job { id, class: 0, deadline, size_hint: None, slots: 1, key: 7, customer: 0 };
+            rig.play(Event::JobArrived(job));
             rig.sent(1)
         })
         .collect();
@@ -201,7 +201,7 @@
     for seed in 1..=30 {
         let mut rig = rig(40);
         rig.dispatcher = Dispatcher::new(asking(), seed, rig.now);
-        rig.members(ListKind::Cached, (1..=40).map(member).collect());
+        rig.members(ListUpdate::Cached, (1..=40).map(member).collect());
         let asked = asked_for(&mut rig, 1, 7);
         assert_eq!(asked.len(), 3, "{asked:?}");
         asked.into_iter().for_each(|w| *met.entry(w).or_insert(0) += 1);
--- a/tests/sequences.rs
+++ b/crates/decision/tests/sequences.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use postusher::*;
+use postusher_decision::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 struct Seen {
     /// Attempts out, with their worker and slots.
     out: BTreeMap<(u32, u8), (u32, usize)>,
-    legs: BTreeMap<u32, u8>,
+    attempts: BTreeMap<u32, u8>,
     open: BTreeMap<u32, usize>,
     told_not: Vec<u32>,
 }
@@ -22,15 +22,15 @@
 fn account(seen: &mut Seen, actions: &[Action], copies: bool) {
     for a in actions {
         match a {
-            Action::Send { job, worker, .. } => {
+            Action::StartAttempt { job, worker, .. } => {
                 assert!(seen.open.contains_key(&job.0), "sent after its answer");
                 assert!(!seen.told_not.contains(&worker.0), "sent to a draining worker");
-                let leg = seen.legs.entry(job.0).or_default();
+                let attempt = seen.attempts.entry(job.0).or_default();
                 assert!(copies || !seen.out.keys().any(|(j, _)| *j == job.0), "two at once");
-                seen.out.insert((job.0, *leg), (worker.0, seen.open[&job.0]));
-                *leg += 1;
+                seen.out.insert((job.0, *attempt), (worker.0, seen.open[&job.0]));
+                *attempt += 1;
             }
-            Action::Refuse { job, .. } | Action::Fail { job } => {
+            Action::Reject { job, .. } | Action::Fail { job } => {
                 assert!(seen.open.remove(&job.0).is_some(), "answered twice");
             }
             _ => {}
@@ -39,7 +39,7 @@
 }
 
 fn run(script: &[(u8, u8, u16)], settings: Settings) -> Vec<Action> {
-    let copies = settings.second_copies;
+    let copies = settings.hedging_allowed;
     let mut rig = Rig::new(settings, WORKERS);
     let (mut seen, mut all, mut id) = (Seen::default(), Vec::new(), 0);
     for (what, which, step) in script {
@@ -53,43 +53,54 @@
                 rig.job(id, u16::from(which % 5), slots);
             }
             3 | 4 => {
-                let Some((job, leg)) =
+                let Some((job, attempt)) =
                     seen.out.keys().nth(usize::from(*which) % seen.out.len().max(1)).copied()
                 else {
                     continue;
                 };
-                seen.out.remove(&(job, leg));
+                seen.out.remove(&(job, attempt));
                 let endings = [
-                    Ending::Ok,
-                    Ending::Ok,
-                    Ending::Error,
-                    Ending::Full,
-                    Ending::Timeout,
-                    Ending::Reset,
-                    Ending::ConnectFailed,
-                    Ending::Cancelled,
+                    AttemptResult::Success,
+                    AttemptResult::Success,
+                    AttemptResult::Error,
+                    AttemptResult::Overloaded,
+                    AttemptResult::TimedOut,
+                    AttemptResult::Reset,
+                    AttemptResult::ConnectFailed,
+                    AttemptResult::Cancelled,
                 ];
-                let ending = endings[usize::from(*which) % 8];
-                if ending == Ending::Ok {
+                let result = endings[usize::from(*which) % 8];
+                if result == AttemptResult::Success {
                     seen.open.remove(&job);
                 }
                 let done = !seen.open.contains_key(&job);
                 let report = vec![f64::from(*which % 3), f64::NAN];
                 let latency = Micros::from(*step) * 100;
-                rig.play(Event::Settled(Outcome { job: JobId(job), leg, ending, latency, done, report }));
+                rig.play(Event::AttemptEnded(AttemptOutcome {
+                    job: JobId(job),
+                    attempt: AttemptId(attempt),
+                    result,
+                    latency,
+                    job_answered: done,
+                    report,
+                }));
             }
-            5 => rig.play(Event::Timer(0)),
+            5 => rig.play(Event::TimerExpired(0)),
             6 => {
                 let ready = which % 2 == 0;
                 let worker = 1 + u32::from(*which) % WORKERS;
                 seen.told_not.retain(|w| *w != worker);
-                let readiness = if ready { Readiness::Ready } else { Readiness::Draining };
+                let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
                 if !ready {
                     seen.told_not.push(worker);
                 }
-                rig.members(ListKind::Delta, vec![Member { readiness, ..member(worker) }]);
+                rig.members(ListUpdate::Changes, vec![Endpoint { state, ..member(worker) }]);
             }
-            _ => rig.probed(1 + u32::from(*which) % WORKERS, Ending::Ok, &[f64::from(*which % 4), 0.0]),
+            _ => rig.probed(
+                1 + u32::from(*which) % WORKERS,
+                AttemptResult::Success,
+                &[f64::from(*which % 4), 0.0],
+            ),
         }
         account(&mut seen, &rig.actions, copies);
         for w in 1..=WORKERS {
@@ -104,7 +115,7 @@
     rig.now += 10 * S;
     for job in seen.open.keys().copied().collect::<Vec<_>>() {
         rig.actions.clear();
-        rig.play(Event::Timer((1 << 32) + u64::from(job)));
+        rig.play(Event::TimerExpired((1 << 32) + u64::from(job)));
         account(&mut seen, &rig.actions, copies);
     }
     assert!(seen.open.is_empty(), "a job got no answer");
@@ -116,7 +127,7 @@
 
     #[test]
     fn rules_and_tokens_hold(script in prop::collection::vec(any::<(u8, u8, u16)>(), 1..400), copies: bool) {
-        let settings = Settings { second_copies: copies, tells_start: copies, ..settings() };
+        let settings = Settings { hedging_allowed: copies, reports_start: copies, ..settings() };
         let first = run(&script, settings.clone());
         prop_assert_eq!(first, run(&script, settings), "the same events give the same actions");
     }
@@ -124,18 +135,19 @@
 
 #[test]
 fn odd_events_are_survived() {
-    let mut rig = Rig::new(Settings { probes: true, ..settings() }, 1);
-    rig.settle(77, 3, Ending::Ok);
-    rig.play(Event::Started { job: JobId(77), leg: 9 });
-    rig.play(Event::ClientGone(JobId(77)));
-    rig.play(Event::Timer(u64::MAX));
-    rig.probed(99, Ending::Timeout, &[-1.0, f64::INFINITY]);
-    rig.probed(1, Ending::Ok, &[f64::NAN]);
-    let job = Job { id: JobId(5), class: 900, expires: 0, hint: Some(0), slots: 0, key: 0, customer: 0 };
+    let mut rig = Rig::new(Settings { health_checks_allowed: true, ..settings() }, 1);
+    rig.settle(77, 3, AttemptResult::Success);
+    rig.play(Event::JobStarted { job: JobId(77), attempt: AttemptId(9) });
+    rig.play(Event::ClientDisconnected(JobId(77)));
+    rig.play(Event::TimerExpired(u64::MAX));
+    rig.probed(99, AttemptResult::TimedOut, &[-1.0, f64::INFINITY]);
+    rig.probed(1, AttemptResult::Success, &[f64::NAN]);
+    let job =
+        Job { id: JobId(5), class: 900, deadline: 0, size_hint: Some(0), slots: 0, key: 0, customer: 0 };
     rig.actions.clear();
-    rig.play(Event::Arrived(job.clone()));
+    rig.play(Event::JobArrived(job.clone()));
     assert!(rig.refused(5), "past its time already, and still answered");
     rig.actions.clear();
-    rig.play(Event::Arrived(Job { id: JobId(6), expires: rig.now + S, slots: u32::MAX, ..job }));
+    rig.play(Event::JobArrived(Job { id: JobId(6), deadline: rig.now + S, slots: u32::MAX, ..job }));
     assert!(rig.refused(6));
 }
--- a/waiting/benches/room.rs
+++ b/crates/deferred-jobs/benches/room.rs
@@ -1,10 +1,10 @@
 //! How the cost of adding, cancelling and releasing a job grows with the number of jobs that are held.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use postusher_waiting::*;
+use postusher_deferred_jobs::*;
 use std::hint::black_box;
 
-const ALL: Vacancy = Vacancy { free: 1_000_000, total: 1_000_000, widest: 1_000 };
+const ALL: FreeCapacity = FreeCapacity { free: 1_000_000, total: 1_000_000, largest_free: 1_000 };
 
 /// A room with so many jobs: a third wait for a time, a third for one job, a third each for one of their own.
 fn full(n: u32) -> Room {
@@ -35,7 +35,7 @@
                 id = id.wrapping_add(1).max(n);
                 let wish = Wish { after: vec![After::served("hub")], start: Some(2e6) };
                 room.hold(Newcomer::new(JobId(id), "newcomer", 1e9, wish), 0.0).unwrap();
-                room.ended("newcomer", End::Left, 0.0);
+                room.ended("newcomer", JobEndStatus::Disconnected, 0.0);
             })
         });
         group.bench_function(BenchmarkId::new("ready and release", n), |b| {
@@ -44,10 +44,10 @@
                 room.opened("first");
                 let wish = Wish { after: vec![After::served("first")], start: None };
                 room.hold(Newcomer::new(JobId(id), "second", 1e9, wish), 0.0).unwrap();
-                room.ended("first", End::Served, 0.0);
+                room.ended("first", JobEndStatus::Served, 0.0);
                 room.release(ALL, 0.0);
-                black_box(room.verdicts());
-                room.ended("second", End::Served, 0.0);
+                black_box(room.decisions());
+                room.ended("second", JobEndStatus::Served, 0.0);
             })
         });
         group.sample_size(10);
@@ -55,7 +55,7 @@
             b.iter_batched(
                 || full(n),
                 |mut room| {
-                    room.ended("hub", End::Served, 0.0);
+                    room.ended("hub", JobEndStatus::Served, 0.0);
                     room
                 },
                 BatchSize::PerIteration,
--- a/waiting/examples/memory.rs
+++ b/crates/deferred-jobs/examples/memory.rs
@@ -1,6 +1,6 @@
 //! Prints how much resident memory 100,000 held jobs take, their bodies left out (Linux).
 
-use postusher_waiting::*;
+use postusher_deferred_jobs::*;
 
 fn resident_kib() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
--- a/waiting/src/lib.rs
+++ b/crates/deferred-jobs/src/lib.rs
@@ -1,23 +1,23 @@
 //! The waiting room: jobs that start only once others have ended or a time has come.
 //!
 //! A [`Room`] is a plain state machine without I/O, clock or threads. Its host tells it of jobs, of how jobs end and
-//! of the time, and carries out the [`Verdict`]s. It decides only *when* a job goes on to the decision module;
+//! of the time, and carries out the [`Decision`]s. It decides only *when* a job goes on to the decision module;
 //! which worker it gets, whether it is tried again and what is turned away is decided there. All times are
 //! milliseconds on the host's one clock.
 //!
 //! ```
-//! use postusher_waiting::*;
+//! use postusher_deferred_jobs::*;
 //!
 //! let mut room = Room::new(Limits::default());
 //! room.opened("first");
 //! let wish = Wish { after: vec![After::served("first")], start: None };
 //! room.hold(Newcomer::new(JobId(2), "second", 60_000.0, wish), 0.0).unwrap();
-//! let plenty = Vacancy { free: 8, total: 8, widest: 8 };
+//! let plenty = FreeCapacity { free: 8, total: 8, largest_free: 8 };
 //! room.release(plenty, 5.0);
-//! assert_eq!(room.verdicts(), []);
-//! room.ended("first", End::Served, 10.0);
+//! assert_eq!(room.decisions(), []);
+//! room.ended("first", JobEndStatus::Served, 10.0);
 //! room.release(plenty, 10.0);
-//! assert_eq!(room.verdicts(), [Verdict::Release(JobId(2))]);
+//! assert_eq!(room.decisions(), [Decision::Release(JobId(2))]);
 //! ```
 #![forbid(unsafe_code)]
 
@@ -25,7 +25,7 @@
 mod pace;
 mod room;
 
-pub use pace::Vacancy;
+pub use pace::FreeCapacity;
 pub use room::{Count, Room};
 
 use std::rc::Rc;
@@ -112,15 +112,15 @@
 
 /// How a job ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum JobEndStatus {
     /// With a result.
     Served,
     /// Turned away.
-    Refused,
+    Rejected,
     /// It failed.
     Failed,
     /// Its client went away before it had an answer: it never had one, whatever answer would have done.
-    Left,
+    Disconnected,
 }
 
 /// Why a job is not held.
@@ -155,13 +155,13 @@
 /// What the host is to do with a job. Each job that is held gets one in the end, unless its host ends it; one that
 /// was released and came back gets another.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It goes on to the decision module.
     Release(JobId),
     /// A job that it waits for will not end as it wishes (424). It was never sent.
     Fail(JobId),
     /// It cannot be started in time (503). It was never sent.
-    Refuse {
+    Reject {
         /// Which.
         id: JobId,
         /// When trying again makes sense; 0 gives no advice.
--- a/waiting/src/names.rs
+++ b/crates/deferred-jobs/src/names.rs
@@ -1,6 +1,6 @@
 //! What is known of clients' ids: which jobs are open, how those that ended did, and who waits for which.
 
-use crate::{End, JobId, Limits, Millis};
+use crate::{JobEndStatus, JobId, Limits, Millis};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
     /// It is under way; with its number, if it is one of those that wait.
     Open(Option<JobId>),
     /// It has ended.
-    Ended(End),
+    Ended(JobEndStatus),
 }
 
 struct Name {
@@ -118,7 +118,7 @@
     }
 
     /// It has ended. Gives those that have waited for it.
-    pub fn end(&mut self, name: &Rc<str>, how: End, set: &Limits, now: Millis) -> Vec<JobId> {
+    pub fn end(&mut self, name: &Rc<str>, how: JobEndStatus, set: &Limits, now: Millis) -> Vec<JobId> {
         self.turns += 1;
         let turn = self.turns;
         let entry = self.entry(name);
@@ -147,7 +147,7 @@
     }
 
     /// The ended jobs that are remembered, with their ages, the oldest first.
-    pub fn remembered(&self, now: Millis) -> impl Iterator<Item = (Rc<str>, End, Millis)> + '_ {
+    pub fn remembered(&self, now: Millis) -> impl Iterator<Item = (Rc<str>, JobEndStatus, Millis)> + '_ {
         self.ended.iter().filter_map(move |(at, name, turn)| match self.by_name.get(name) {
             Some(Name { known: Known::Ended(end), turn: latest, .. }) if latest == turn => {
                 Some((name.clone(), *end, now - at))
--- a/waiting/src/pace.rs
+++ b/crates/deferred-jobs/src/pace.rs
@@ -4,13 +4,13 @@
 
 /// What the fleet has room for, by the decision module's own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Vacancy {
+pub struct FreeCapacity {
     /// Slots at which a job would start at once.
     pub free: u32,
     /// All slots that are in service, free ones included.
     pub total: u32,
     /// The most free slots at a single worker.
-    pub widest: u32,
+    pub largest_free: u32,
 }
 
 /// After a job was turned away all rest so long. The fleet's count of its room is seconds old at worst, so this is
@@ -43,19 +43,19 @@
     }
 
     /// How many slots and jobs may go on now.
-    pub fn open(&mut self, vacancy: Vacancy, reserve: f64, now: Millis) -> (u32, u32) {
-        if now < self.rests_until || vacancy.total == 0 {
+    pub fn open(&mut self, capacity: FreeCapacity, reserve: f64, now: Millis) -> (u32, u32) {
+        if now < self.rests_until || capacity.total == 0 {
             return (0, 0);
         }
         if std::mem::take(&mut self.tried) {
             self.window = (self.window * 2).min(MOST_AT_ONCE);
         }
-        (vacancy.free.saturating_sub(kept(vacancy, reserve)), self.window)
+        (capacity.free.saturating_sub(kept(capacity, reserve)), self.window)
     }
 
     /// Slots that must be free for a job: its own, or of a job that is larger than what may ever be taken, all of that.
-    pub fn needs(slots: u32, vacancy: Vacancy, reserve: f64) -> u32 {
-        slots.min(vacancy.total - kept(vacancy, reserve)).max(1)
+    pub fn needs(slots: u32, capacity: FreeCapacity, reserve: f64) -> u32 {
+        slots.min(capacity.total - kept(capacity, reserve)).max(1)
     }
 
     /// A job has gone on.
@@ -95,8 +95,8 @@
 }
 
 /// Slots that are left to others: a part of all, rounded up, but never all of them.
-fn kept(vacancy: Vacancy, reserve: f64) -> u32 {
-    ((f64::from(vacancy.total) * reserve).ceil() as u32).min(vacancy.total.saturating_sub(1))
+fn kept(capacity: FreeCapacity, reserve: f64) -> u32 {
+    ((f64::from(capacity.total) * reserve).ceil() as u32).min(capacity.total.saturating_sub(1))
 }
 
 #[cfg(test)]
@@ -106,7 +106,7 @@
     #[test]
     fn a_reserve_stays_free_and_a_small_fleet_still_gets_work() {
         let mut pace = Pace::new();
-        let of = |free, total| Vacancy { free, total, widest: free };
+        let of = |free, total| FreeCapacity { free, total, largest_free: free };
         assert_eq!(pace.open(of(20, 40), 0.15, 0.0), (14, 1));
         assert_eq!(pace.open(of(6, 40), 0.15, 0.0).0, 0);
         assert_eq!(pace.open(of(1, 1), 0.15, 0.0).0, 1);
@@ -117,7 +117,7 @@
 
     #[test]
     fn the_window_doubles_while_all_goes_well_and_starts_anew_after_a_refusal() {
-        let (mut pace, all) = (Pace::new(), Vacancy { free: 99, total: 99, widest: 9 });
+        let (mut pace, all) = (Pace::new(), FreeCapacity { free: 99, total: 99, largest_free: 9 });
         let window = |pace: &mut Pace, now| {
             let (_, window) = pace.open(all, 0.0, now);
             pace.released(now);
--- a/waiting/src/room.rs
+++ b/crates/deferred-jobs/src/room.rs
@@ -1,8 +1,8 @@
 //! The room itself: each job's way from the door to the decision module.
 
 use crate::names::{Known, Names};
-use crate::pace::{Pace, Vacancy};
-use crate::{After, Bound, Carried, End, JobId, Limits, Millis, Newcomer, No, Verdict, Wish};
+use crate::pace::{FreeCapacity, Pace};
+use crate::{After, Bound, Carried, Decision, JobEndStatus, JobId, Limits, Millis, Newcomer, No, Wish};
 use std::cmp::Ordering;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
@@ -88,12 +88,12 @@
     clients: HashMap<u64, usize>,
     bytes: usize,
     pace: Pace,
-    verdicts: Vec<Verdict>,
+    decisions: Vec<Decision>,
     arrivals: u64,
     closed: bool,
     count: Count,
     /// The most room at a single worker, when it was last looked for.
-    widest: u32,
+    largest_free: u32,
 }
 
 impl Room {
@@ -108,11 +108,11 @@
             clients: HashMap::new(),
             bytes: 0,
             pace: Pace::new(),
-            verdicts: Vec::new(),
+            decisions: Vec::new(),
             arrivals: 0,
             closed: false,
             count: Count::default(),
-            widest: 0,
+            largest_free: 0,
         }
     }
 
@@ -129,14 +129,14 @@
     }
 
     /// Takes in a job. One that is not held has ended as far as others are concerned: those that wait for it get
-    /// their verdicts.
+    /// their decisions.
     ///
     /// # Errors
     /// Why it is not held. Its client is to be told; nothing else is to be done.
     pub fn hold(&mut self, new: Newcomer, now: Millis) -> Result<(), No> {
         self.names.forget(&self.set, now);
         let name = new.name.clone();
-        self.admit(new, now).inspect_err(|_| self.cascade(name, End::Refused, now))
+        self.admit(new, now).inspect_err(|_| self.cascade(name, JobEndStatus::Rejected, now))
     }
 
     fn admit(&mut self, new: Newcomer, now: Millis) -> Result<(), No> {
@@ -245,14 +245,14 @@
 
     /// A job has ended, whether it ever waited or not; its client knows, or has left.
     /// What is told twice counts once.
-    pub fn ended(&mut self, name: &str, how: End, now: Millis) {
+    pub fn ended(&mut self, name: &str, how: JobEndStatus, now: Millis) {
         if !matches!(self.names.known(name), Known::Ended(_)) {
             self.cascade(name.into(), how, now);
         }
     }
 
     /// Tells all that wait for a job of its end, and so on for those that end by that.
-    fn cascade(&mut self, name: Rc<str>, how: End, now: Millis) {
+    fn cascade(&mut self, name: Rc<str>, how: JobEndStatus, now: Millis) {
         let mut next = vec![(name, how)];
         while let Some((name, how)) = next.pop() {
             if let Known::Open(Some(id)) = self.names.known(&name) {
@@ -264,10 +264,10 @@
                 let after = job.pending.swap_remove(at);
                 if !suits(how, after.any) {
                     let name = job.name.clone();
-                    self.verdicts.push(Verdict::Fail(who));
+                    self.decisions.push(Decision::Fail(who));
                     // Guards against: a second verdict by another job that it waits for and that ends with this one.
                     self.drop_job(who);
-                    next.push((name, End::Failed));
+                    next.push((name, JobEndStatus::Failed));
                 } else if job.pending.is_empty() {
                     self.unblocked(who, now, now);
                 }
@@ -368,13 +368,13 @@
     }
 
     /// Lets time pass and sends on what the fleet has room for.
-    pub fn release(&mut self, vacancy: Vacancy, now: Millis) {
+    pub fn release(&mut self, capacity: FreeCapacity, now: Millis) {
         self.pass(now);
-        let (mut slots, mut jobs) = self.pace.open(vacancy, self.set.reserve, now);
-        self.widest = vacancy.widest;
+        let (mut slots, mut jobs) = self.pace.open(capacity, self.set.reserve, now);
+        self.largest_free = capacity.largest_free;
         while let Some((_, id)) = self.ready.first().copied().filter(|_| jobs > 0) {
             let Some(job) = self.jobs.get(&id) else { return };
-            let needs = Pace::needs(job.slots, vacancy, self.set.reserve);
+            let needs = Pace::needs(job.slots, capacity, self.set.reserve);
             // Nobody passes the first in the queue: else one that needs more room than others never gets it.
             if needs > slots {
                 break;
@@ -398,7 +398,7 @@
         self.uncount(client, bytes);
         self.rewind(id);
         self.pace.released(now);
-        self.verdicts.push(Verdict::Release(id));
+        self.decisions.push(Decision::Release(id));
     }
 
     /// A job's alarm has come.
@@ -412,15 +412,15 @@
                 _ => self.count.longest_wait,
             };
             let (name, retry_after) = (job.name.clone(), self.until_room());
-            self.verdicts.push(Verdict::Refuse { id, retry_after });
-            return self.cascade(name, End::Refused, now);
+            self.decisions.push(Decision::Reject { id, retry_after });
+            return self.cascade(name, JobEndStatus::Rejected, now);
         }
         match job.state {
             State::Blocked if now >= job.grace => {
                 if job.pending.iter().any(|p| self.names.known(&p.name) == Known::Awaited) {
                     let name = job.name.clone();
-                    self.verdicts.push(Verdict::Fail(id));
-                    return self.cascade(name, End::Failed, now);
+                    self.decisions.push(Decision::Fail(id));
+                    return self.cascade(name, JobEndStatus::Failed, now);
                 }
                 job.grace = f64::INFINITY;
             }
@@ -440,7 +440,7 @@
     pub fn turned_away(&mut self, id: JobId, now: Millis) -> bool {
         let Some(job) = self.jobs.get_mut(&id).filter(|j| j.state == State::Out) else { return false };
         // One that is larger than the room at any worker says nothing of others: they pass while it rests.
-        if job.slots <= self.widest {
+        if job.slots <= self.largest_free {
             self.pace.turned_away(now);
         }
         let last = (job.expires - self.set.lead).min(job.ready_at + self.set.longest);
@@ -481,7 +481,7 @@
     }
 
     /// The ended jobs that are remembered: name, how it ended, how long ago.
-    pub fn remembered(&self, now: Millis) -> impl Iterator<Item = (Rc<str>, End, Millis)> + '_ {
+    pub fn remembered(&self, now: Millis) -> impl Iterator<Item = (Rc<str>, JobEndStatus, Millis)> + '_ {
         self.names.remembered(now)
     }
 
@@ -492,14 +492,14 @@
             self.jobs.iter().filter(|(_, j)| j.state != State::Out).map(|(id, j)| (j.nth, *id)).collect();
         held.sort_unstable();
         for (_, id) in held {
-            self.verdicts.push(Verdict::Refuse { id, retry_after: 0.0 });
+            self.decisions.push(Decision::Reject { id, retry_after: 0.0 });
             self.drop_job(id);
         }
     }
 
     /// What the host is to do, in order.
-    pub fn verdicts(&mut self) -> Vec<Verdict> {
-        std::mem::take(&mut self.verdicts)
+    pub fn decisions(&mut self) -> Vec<Decision> {
+        std::mem::take(&mut self.decisions)
     }
 
     /// The figures; a job that is ready and waits still counts with its wait so far.
@@ -517,10 +517,10 @@
 }
 
 /// Whether an end is what a job waits for.
-fn suits(end: End, any: bool) -> bool {
+fn suits(end: JobEndStatus, any: bool) -> bool {
     match end {
-        End::Served => true,
-        End::Refused | End::Failed => any,
-        End::Left => false,
+        JobEndStatus::Served => true,
+        JobEndStatus::Rejected | JobEndStatus::Failed => any,
+        JobEndStatus::Disconnected => false,
     }
 }
--- a/waiting/tests/model.rs
+++ b/crates/deferred-jobs/tests/model.rs
@@ -1,6 +1,6 @@
 //! Random graphs, weights, arrivals and ends, checked against what the pages promise.
 
-use postusher_waiting::*;
+use postusher_deferred_jobs::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -38,7 +38,7 @@
     held: BTreeMap<u32, (Vec<After>, Option<Millis>, Millis)>,
     /// At work, ordinary or released.
     out: BTreeSet<u32>,
-    ends: BTreeMap<u32, End>,
+    ends: BTreeMap<u32, JobEndStatus>,
 }
 
 fn name(n: i64) -> String {
@@ -50,38 +50,39 @@
 }
 
 impl Model {
-    fn end(&mut self, id: u32, how: End) {
+    fn end(&mut self, id: u32, how: JobEndStatus) {
         assert!(self.ends.insert(id, how).is_none(), "job {id} has ended twice");
     }
 
     fn carry_out(&mut self, room: &mut Room, refuses: bool) {
-        for verdict in room.verdicts() {
+        for verdict in room.decisions() {
             match verdict {
-                Verdict::Release(JobId(id)) => {
+                Decision::Release(JobId(id)) => {
                     let (after, start, _) = self.held.remove(&id).expect("released, yet not held");
                     assert!(start.is_none_or(|at| at <= self.now), "job {id} is too early");
                     for a in &after {
                         let n: u32 = a.name[1..].parse().unwrap();
                         let end = self.ends.get(&n).copied();
-                        let good = end == Some(End::Served) || a.any && end.is_some_and(|e| e != End::Left);
+                        let good = end == Some(JobEndStatus::Served)
+                            || a.any && end.is_some_and(|e| e != JobEndStatus::Disconnected);
                         assert!(good, "job {id} goes on though {n} ended {end:?}");
                     }
                     if refuses && room.turned_away(JobId(id), self.now) {
                         self.held.insert(id, (after, start, f64::INFINITY));
                     } else if refuses {
-                        room.ended(&name(id.into()), End::Refused, self.now);
-                        self.end(id, End::Refused);
+                        room.ended(&name(id.into()), JobEndStatus::Rejected, self.now);
+                        self.end(id, JobEndStatus::Rejected);
                     } else {
                         self.out.insert(id);
                     }
                 }
-                Verdict::Fail(JobId(id)) => {
+                Decision::Fail(JobId(id)) => {
                     self.held.remove(&id).expect("failed, yet not held");
-                    self.end(id, End::Failed);
+                    self.end(id, JobEndStatus::Failed);
                 }
-                Verdict::Refuse { id: JobId(id), .. } => {
+                Decision::Reject { id: JobId(id), .. } => {
                     self.held.remove(&id).expect("refused, yet not held");
-                    self.end(id, End::Refused);
+                    self.end(id, JobEndStatus::Rejected);
                 }
             }
         }
@@ -107,7 +108,7 @@
                     Newcomer { class, slots, ..Newcomer::new(JobId(id), &name(id.into()), expires, wish) };
                 match room.hold(new, self.now) {
                     Ok(()) => drop(self.held.insert(id, (after, start, expires))),
-                    Err(_) => self.end(id, End::Refused),
+                    Err(_) => self.end(id, JobEndStatus::Rejected),
                 }
             }
             Step::End { which, how } => {
@@ -117,20 +118,20 @@
                 }
                 let id = all[usize::from(which) % all.len()];
                 let how = match how {
-                    0 => End::Failed,
-                    1 => End::Refused,
-                    2 => End::Left,
-                    _ => End::Served,
+                    0 => JobEndStatus::Failed,
+                    1 => JobEndStatus::Rejected,
+                    2 => JobEndStatus::Disconnected,
+                    _ => JobEndStatus::Served,
                 };
                 // A job that is held can only be left by its client.
-                let how = if self.out.remove(&id) { how } else { End::Left };
+                let how = if self.out.remove(&id) { how } else { JobEndStatus::Disconnected };
                 self.held.remove(&id);
                 room.ended(&name(id.into()), how, self.now);
                 self.end(id, how);
             }
             Step::Turn { pass, free, refuses } => {
                 self.now += f64::from(pass);
-                room.release(Vacancy { free, total: 24, widest: free.min(5) }, self.now);
+                room.release(FreeCapacity { free, total: 24, largest_free: free.min(5) }, self.now);
                 self.carry_out(room, refuses);
             }
             Step::Upgrade => {
@@ -171,12 +172,12 @@
         }
         // What is under way ends; then time alone brings every job to its verdict.
         for id in std::mem::take(&mut model.out) {
-            room.ended(&name(id.into()), End::Failed, model.now);
-            model.end(id, End::Failed);
+            room.ended(&name(id.into()), JobEndStatus::Failed, model.now);
+            model.end(id, JobEndStatus::Failed);
         }
         model.carry_out(&mut room, false);
         model.now += 30_000.0;
-        room.release(Vacancy::default(), model.now);
+        room.release(FreeCapacity::default(), model.now);
         model.carry_out(&mut room, false);
         prop_assert!(model.held.is_empty(), "left without a verdict: {:?}", model.held.keys());
         let (_, _, alarms, _) = room.kept();
@@ -194,7 +195,7 @@
         let mut room = Room::new(set.clone());
         let (mut now, mut ready, mut class_of) = (0.0, BTreeMap::new(), BTreeMap::new());
         let mut gone: Vec<(u32, Millis)> = Vec::new();
-        let one = Vacancy { free: 1, total: 1, widest: 1 };
+        let one = FreeCapacity { free: 1, total: 1, largest_free: 1 };
         let mut pending = jobs.iter().zip(0u32..).peekable();
         let mut arrives = 0.0;
         while pending.peek().is_some() || room.count(now).held > 0 {
@@ -207,11 +208,11 @@
                 ready.insert(id, start);
                 class_of.insert(id, *class);
             }
-            room.release(if (now as u32).is_multiple_of(room_every) { one } else { Vacancy::default() }, now);
-            for verdict in room.verdicts() {
+            room.release(if (now as u32).is_multiple_of(room_every) { one } else { FreeCapacity::default() }, now);
+            for verdict in room.decisions() {
                 match verdict {
-                    Verdict::Release(JobId(id)) => gone.push((id, now)),
-                    Verdict::Refuse { id, .. } => prop_assert!(now - ready[&id.0] >= set.longest),
+                    Decision::Release(JobId(id)) => gone.push((id, now)),
+                    Decision::Reject { id, .. } => prop_assert!(now - ready[&id.0] >= set.longest),
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
--- a/members/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,7 +5,7 @@
 //! sockets, no clock, no threads and no randomness but what its seed gives.
 //!
 //! ```
-//! use postusher_members::*;
+//! use postusher_membership::*;
 //!
 //! let config = Config::new("demo", "a1", "lamia", "127.0.0.11:7946".parse().unwrap());
 //! let mut a = Members::new(config, 7, 0.0);
--- a/members/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden file: every datagram and whole state that a fixed course of events brings forth keeps its bytes.
 //! `UPDATE_GOLDEN=1` writes the fixture anew, for a deliberate change of the format.
 
-use postusher_members::*;
+use postusher_membership::*;
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
         for _ in 0..self.network.len() {
             let Some((from, to, content)) = self.network.pop_front() else { return };
             let crashed = now >= CRASH_MS && (from == MEMBERS - 1 || to == MEMBERS - 1);
-            let cut = now >= CUT_MS && now < CRASH_MS && (from, to) == (2, 1);
+            let cut = (CUT_MS..CRASH_MS).contains(&now) && (from, to) == (2, 1);
             if crashed || cut {
                 continue;
             }
--- a/members/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,7 +1,7 @@
 //! Join, accuse, refute, remove and rejoin of three and four members, in every order in which messages can come or be lost,
 //! on the crate's own transition function ([`Roster`]), checked by stateright.
 
-use postusher_members::{Accusation, Change, Devices, Id, Instance, Record, Roster, Standing, Times};
+use postusher_membership::{Accusation, Change, Devices, Id, Instance, Record, Roster, Standing, Times};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/members/tests/names.rs
+++ b/crates/membership/tests/names.rs
@@ -1,7 +1,7 @@
 //! Two processes under one name, after a split in which neither knew of the other: whatever order messages come in, and
 //! whichever of them is lost, one stays and the other says so and ends. The whole state machine, checked by stateright.
 
-use postusher_members::{Action, Config, Members};
+use postusher_membership::{Action, Config, Members};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
--- a/members/tests/steps.rs
+++ b/crates/membership/tests/steps.rs
@@ -1,6 +1,6 @@
 //! Random steps: whatever comes in whatever order, what must hold of a member holds.
 
-use postusher_members::*;
+use postusher_membership::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
--- a/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::List;
 use crate::intake::fnv;
-use postusher_settings::Site;
+use postusher_settings::SiteSettings;
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -13,7 +13,7 @@
 pub struct Config {
     /// The scheduler's name.
     pub name: String,
-    /// Where clients connect, and targets with their news.
+    /// Where clients connect, and workers with their news.
     pub listen: SocketAddr,
     /// Where operators call, if anywhere.
     pub mgmt: Option<SocketAddr>,
@@ -25,10 +25,10 @@
     pub sockets: usize,
     /// A list of discovery's holds this many bytes at most.
     pub max_list: usize,
-    /// The list of targets as last had.
+    /// The list of workers as last had.
     pub known: List,
     /// The settings, with the names that messages use.
-    pub site: Site,
+    pub site: SiteSettings,
     /// A digest of the settings as they stand in the file.
     pub digest: u64,
     /// What this scheduler can do beyond that.
@@ -44,14 +44,14 @@
     ///
     /// # Errors
     /// All that is wrong with it.
-    pub fn load(path: Option<&Path>, site: &Site) -> Result<Setup, String> {
+    pub fn load(path: Option<&Path>, site: &SiteSettings) -> Result<Setup, String> {
         let Some(path) = path else { return Ok(Setup::default()) };
         let setup = postusher_setup::load(path)?;
         if let Some(pool) = setup.pools.first() {
             let (path, name) = (path.display(), &pool.name);
             return Err(format!("{path}: pool {name:?} stands beside a configuration; leave --config out"));
         }
-        let known: Vec<&str> = site.classes.iter().map(|(name, _)| name.as_str()).collect();
+        let known: Vec<&str> = site.classes.iter().map(|class| class.name.as_str()).collect();
         let weights = setup.waiting.iter().flat_map(|w| w.weights.keys());
         if let Some(other) = weights.into_iter().find(|name| !known.contains(&name.as_str())) {
             let classes = known.join(", ");
@@ -61,8 +61,8 @@
     }
 
     /// The bounds of the waiting room, if jobs may wait.
-    pub fn limits(&self, site: &Site) -> Option<postusher_waiting::Limits> {
-        let names = site.classes.iter().map(|(name, _)| name.as_str());
+    pub fn limits(&self, site: &SiteSettings) -> Option<postusher_deferred_jobs::Limits> {
+        let names = site.classes.iter().map(|class| class.name.as_str());
         self.0.waiting.as_ref().map(|w| w.limits(names))
     }
 }
@@ -144,7 +144,7 @@
             sockets: file.limits.sockets,
             max_list: max_list(file.limits.memory_mb),
             known,
-            site: postusher_settings::read(&file.settings)?,
+            site: SiteSettings::from_value(&file.settings).map_err(|e| e.to_string())?,
             digest: fnv(file.settings.to_string().as_bytes()),
             setup: Setup::default(),
         })
@@ -184,7 +184,7 @@
     fn a_configuration_is_read_whole() {
         let c = config();
         assert_eq!((c.name.as_str(), c.seed, c.sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 128));
-        assert_eq!((c.site.classes[1].0.as_str(), c.known.entries.len()), ("fund", 1));
+        assert_eq!((c.site.classes[1].name.as_str(), c.known.entries.len()), ("fund", 1));
         assert!(c.mgmt.is_none()); // older deployments have none
     }
 
--- a/node/src/key.rs
+++ b/crates/node/src/connection_id.rs
@@ -2,14 +2,14 @@
 
 /// Names a connection for as long as it lives; its slot may be used again by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Key {
+pub struct ConnectionId {
     /// Where the event loop keeps it.
     pub slot: usize,
-    /// See [`Key::number`].
+    /// See [`ConnectionId::number`].
     pub serial: u64,
 }
 
-impl Key {
+impl ConnectionId {
     /// A number that no other connection of this process ever has.
     pub fn number(self) -> u64 {
         self.serial
@@ -17,9 +17,9 @@
 }
 
 #[cfg(test)]
-impl Key {
+impl ConnectionId {
     /// A key where there are no sockets.
-    pub fn test(serial: u64) -> Key {
-        Key { slot: 0, serial }
+    pub fn test(serial: u64) -> ConnectionId {
+        ConnectionId { slot: 0, serial }
     }
 }
--- a/node/src/waiting.rs
+++ b/crates/node/src/deferral.rs
@@ -2,11 +2,13 @@
 //! where the setup has one.
 
 use crate::clock::Millis;
-use crate::handover::{MovedWait, Word};
 use crate::http::Headers;
 use crate::intake::{is_id, millis, Job};
-use postusher::JobId;
-use postusher_waiting::{After, Carried, Count, End, Limits, Newcomer, No, Room, Verdict, Wish, MOST_NAMES};
+use crate::upgrade_protocol::{JobEnd, MigratedDeferral};
+use postusher_decision::JobId;
+use postusher_deferred_jobs::{
+    After, Carried, Count, Decision, JobEndStatus, Limits, Newcomer, No, Room, Wish, MOST_NAMES,
+};
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
@@ -19,16 +21,16 @@
 
 /// What a request says of its start; of several things the last counts.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Waits {
+pub struct StartConditions {
     after: Vec<After>,
     at: Option<Millis>,
     within: Option<Millis>,
 }
 
-impl Waits {
+impl StartConditions {
     /// Takes what concerns the start out of a request: it is meant for this scheduler alone. `None` if it cannot be
     /// read.
-    pub fn take(headers: &mut Headers) -> Option<Waits> {
+    pub fn take(headers: &mut Headers) -> Option<StartConditions> {
         let mut after = Vec::new();
         for line in headers.all(AFTER) {
             for part in std::str::from_utf8(line).ok()?.split(',') {
@@ -42,7 +44,7 @@
         }
         let own = |name: &str| [AFTER, AT, IN].iter().any(|n| n.eq_ignore_ascii_case(name));
         headers.0.retain(|(name, _)| !own(name));
-        Some(Waits { after, at, within })
+        Some(StartConditions { after, at, within })
     }
 
     /// Whether there is nothing to wait for.
@@ -72,7 +74,7 @@
 
 /// Why a job that wants to wait is not held.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Turned {
+pub enum DeferralError {
     /// No room for it.
     Full {
         /// When there may be some; 0 gives no advice.
@@ -88,16 +90,16 @@
 
 /// The waiting room of a scheduler; without one nothing waits, and nothing here costs anything.
 #[derive(Default)]
-pub struct Waiting(Option<Room>);
+pub struct DeferredJobs(Option<Room>);
 
-fn id(job: JobId) -> postusher_waiting::JobId {
-    postusher_waiting::JobId(job.0)
+fn id(job: JobId) -> postusher_deferred_jobs::JobId {
+    postusher_deferred_jobs::JobId(job.0)
 }
 
-impl Waiting {
+impl DeferredJobs {
     /// A room with these bounds, if there is one.
-    pub fn new(limits: Option<Limits>) -> Waiting {
-        Waiting(limits.map(Room::new))
+    pub fn new(limits: Option<Limits>) -> DeferredJobs {
+        DeferredJobs(limits.map(Room::new))
     }
 
     /// Whether jobs may wait.
@@ -113,16 +115,16 @@
     }
 
     /// A job goes the ordinary way, here or at the other process of an upgrade.
-    pub fn opened(&mut self, trace: &str) {
+    pub fn opened(&mut self, trace_id: &str) {
         if let Some(room) = &mut self.0 {
-            room.opened(trace);
+            room.opened(trace_id);
         }
     }
 
     /// A job has had its answer, or its client has left.
-    pub fn ended(&mut self, trace: &str, how: End, now: Millis) {
+    pub fn ended(&mut self, trace_id: &str, how: JobEndStatus, now: Millis) {
         if let Some(room) = &mut self.0 {
-            room.ended(trace, how, now);
+            room.ended(trace_id, how, now);
         }
     }
 
@@ -134,20 +136,20 @@
         new: &Job,
         expires: Millis,
         now: Millis,
-    ) -> Result<(), Turned> {
+    ) -> Result<(), DeferralError> {
         let wish = new.waits.clone().wish(now);
         let late = wish.start.is_some_and(|at| at >= expires);
-        let Some(room) = self.0.as_mut() else { return Err(Turned::Full { retry_after: 0.0 }) };
+        let Some(room) = self.0.as_mut() else { return Err(DeferralError::Full { retry_after: 0.0 }) };
         if late {
             // Whoever waits for it is told at once, too.
-            room.ended(&new.trace, End::Refused, now);
-            return Err(Turned::TooLate);
+            room.ended(&new.trace_id, JobEndStatus::Rejected, now);
+            return Err(DeferralError::TooLate);
         }
         room.hold(newcomer(job, client, new, expires, wish, None), now).map_err(|no| match no {
-            No::Circle => Turned::Circle,
-            No::Doomed => Turned::Doomed,
-            No::Full { retry_after, .. } => Turned::Full { retry_after },
-            No::Closed => Turned::Full { retry_after: 0.0 },
+            No::Circle => DeferralError::Circle,
+            No::Doomed => DeferralError::Doomed,
+            No::Full { retry_after, .. } => DeferralError::Full { retry_after },
+            No::Closed => DeferralError::Full { retry_after: 0.0 },
         })
     }
 
@@ -158,21 +160,22 @@
         client: u64,
         new: &Job,
         expires: Millis,
-        held: MovedWait,
+        held: MigratedDeferral,
         now: Millis,
     ) -> bool {
         let Some(room) = &mut self.0 else { return false };
-        let after = held.after.iter().map(|(name, any)| After { name: name.as_str().into(), any: *any });
+        let after =
+            held.dependencies.iter().map(|(name, any)| After { name: name.as_str().into(), any: *any });
         let wish = Wish { after: after.collect(), start: held.start_in.map(|ms| now + ms) };
         let carried = Carried { ready_for: held.ready_for, grace_left: held.grace_left };
         room.hold(newcomer(job, client, new, expires, wish, Some(carried)), now).is_ok()
     }
 
     /// What another process needs to go on holding a job, if it is held.
-    pub fn parcel(&self, job: JobId, now: Millis) -> Option<MovedWait> {
+    pub fn parcel(&self, job: JobId, now: Millis) -> Option<MigratedDeferral> {
         let (wish, carried) = self.0.as_ref()?.parcel(id(job), now)?;
-        Some(MovedWait {
-            after: wish.after.into_iter().map(|a| (a.name.to_string(), a.any)).collect(),
+        Some(MigratedDeferral {
+            dependencies: wish.after.into_iter().map(|a| (a.name.to_string(), a.any)).collect(),
             start_in: wish.start.map(|at| at - now),
             ready_for: carried.ready_for,
             grace_left: carried.grace_left,
@@ -180,27 +183,31 @@
     }
 
     /// Another process has a job now.
-    pub fn moved(&mut self, trace: &str) {
+    pub fn moved(&mut self, trace_id: &str) {
         if let Some(room) = &mut self.0 {
-            room.moved(trace);
+            room.moved(trace_id);
         }
     }
 
     /// What another process must know of jobs that have ended.
-    pub fn remembered(&self, now: Millis) -> Vec<Word> {
+    pub fn remembered(&self, now: Millis) -> Vec<JobEnd> {
         let all = self.0.iter().flat_map(|room| room.remembered(now));
-        all.map(|(name, how, _)| Word { id: name.to_string(), how: how.into() }).collect()
+        all.map(|(name, status, _)| JobEnd { trace_id: name.to_string(), status }).collect()
     }
 
-    /// Lets time pass and releases what there is room for; `vacancy` is asked only where jobs could go on.
-    pub fn release(&mut self, vacancy: impl Fn() -> postusher::Vacancy, now: Millis) -> Vec<Verdict> {
+    /// Lets time pass and releases what there is room for; `capacity` is asked only where jobs could go on.
+    pub fn release(
+        &mut self,
+        capacity: impl Fn() -> postusher_decision::FreeCapacity,
+        now: Millis,
+    ) -> Vec<Decision> {
         let Some(room) = &mut self.0 else { return Vec::new() };
         room.pass(now);
         if room.wants_room(now) {
-            let postusher::Vacancy { free, total, widest } = vacancy();
-            room.release(postusher_waiting::Vacancy { free, total, widest }, now);
+            let postusher_decision::FreeCapacity { free, total, largest_free } = capacity();
+            room.release(postusher_deferred_jobs::FreeCapacity { free, total, largest_free }, now);
         }
-        room.verdicts()
+        room.decisions()
     }
 
     /// The module has turned away a job that came from here and that no target was sent; says if it waits on.
@@ -215,7 +222,7 @@
         }
     }
 
-    /// When [`Waiting::release`] has something to do by time alone.
+    /// When [`DeferredJobs::release`] has something to do by time alone.
     pub fn next_due(&self, now: Millis) -> Option<Millis> {
         self.0.as_ref()?.next_due(now)
     }
@@ -227,7 +234,7 @@
         }
     }
 
-    /// The figures, where there is a room.
+    /// The metrics, where there is a room.
     pub fn count(&self, now: Millis) -> Option<Count> {
         self.0.as_ref().map(|room| room.count(now))
     }
@@ -243,7 +250,7 @@
 ) -> Newcomer {
     Newcomer {
         id: id(job),
-        name: new.trace.as_str().into(),
+        name: new.trace_id.as_str().into(),
         client,
         class: new.class,
         slots: new.slots,
@@ -259,7 +266,7 @@
     use super::*;
     use crate::intake::tests::job_of;
 
-    fn waits(headers: &str) -> Result<Waits, u16> {
+    fn waits(headers: &str) -> Result<StartConditions, u16> {
         job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{headers}\r\n")).map(|job| job.waits)
     }
 
--- a/node/src/direct/event_loop.rs
+++ b/crates/node/src/direct/event_loop.rs
@@ -2,12 +2,12 @@
 //! the other, and between them bodies of any size that pass in pieces.
 
 use super::load;
-use super::service::{Ask, Deed, Service};
+use super::service::{Ask, Command, Service};
 use crate::clock::{Clock, Millis, Timers};
 use crate::http::Outbox;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use postusher::{Ending, WorkerId};
+use postusher_decision::{AttemptId, AttemptResult, WorkerId};
 use postusher_direct::{
     request_head, response_head, session, Framing, Head, Piece, Reader, Wrong, CHUNKS_END,
 };
@@ -46,7 +46,7 @@
 
 /// Names a connection for as long as it lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Key {
+struct ConnectionId {
     slot: usize,
     serial: u64,
 }
@@ -69,7 +69,7 @@
 /// A worker's connection.
 struct Back {
     reader: Reader,
-    ask: Option<(Ask, u8)>,
+    ask: Option<(Ask, AttemptId)>,
     place: (usize, WorkerId),
     connecting: bool,
     /// It has served before: that it breaks says nothing of the worker.
@@ -88,16 +88,16 @@
 
 struct Socket {
     stream: TcpStream,
-    key: Key,
+    key: ConnectionId,
     out: Outbox,
     role: Role,
 }
 
 /// A request under way.
 struct Exchange {
-    front: Key,
-    back: Option<Key>,
-    leg: u8,
+    front: ConnectionId,
+    back: Option<ConnectionId>,
+    attempt: AttemptId,
     head: Head,
     target: String,
     /// The body so far, framed, as long as it may have to be sent again.
@@ -113,7 +113,7 @@
 
 /// What happens at a time.
 enum Due {
-    Socket(Key),
+    Socket(ConnectionId),
     Ask(Ask),
 }
 
@@ -125,7 +125,7 @@
     path: PathBuf,
     listen: SocketAddr,
     listener: TcpListener,
-    management: Option<TcpListener>,
+    admin_listener: Option<TcpListener>,
     service: Service,
     exchanges: HashMap<Ask, Exchange>,
     sockets: Slab<Socket>,
@@ -134,10 +134,10 @@
     most_fronts: usize,
     backs: usize,
     most_backs: usize,
-    idle: HashMap<(usize, WorkerId), Vec<Key>>,
+    idle: HashMap<(usize, WorkerId), Vec<ConnectionId>>,
     timers: Timers<Due>,
     /// Connections to look at in this turn, besides those that are ready.
-    again: Vec<Key>,
+    again: Vec<ConnectionId>,
     accepts: bool,
     leaving: Option<Millis>,
     scratch: Vec<u8>,
@@ -188,14 +188,14 @@
         let mut listener = listening(listen)?;
         poll.registry().register(&mut listener, LISTENER, Interest::READABLE)?;
         poll.registry().register(&mut signals, SIGNAL, Interest::READABLE)?;
-        let mut management = setup.mgmt.map(listening).transpose()?;
-        if let Some(m) = &mut management {
+        let mut admin_listener = setup.mgmt.map(listening).transpose()?;
+        if let Some(m) = &mut admin_listener {
             poll.registry().register(m, MANAGEMENT, Interest::READABLE)?;
         }
         let service = Service::new(setup.pools, clock.now()).map_err(io::Error::other)?;
         let name = setup.name.unwrap_or_else(|| "postusher".into());
         log::info!("{name}: listening on {}", listener.local_addr()?);
-        if let Some(m) = &management {
+        if let Some(m) = &admin_listener {
             log::info!("{name}: operators call at {}", m.local_addr()?);
         }
         let connections = sockets - OWN;
@@ -206,7 +206,7 @@
             path,
             listen,
             listener,
-            management,
+            admin_listener,
             service,
             exchanges: HashMap::new(),
             sockets: Slab::new(),
@@ -278,18 +278,22 @@
         // Acting may bring news at once, such as a connect that fails; what is left waits for the next turn.
         for _ in 0..8 {
             let now = self.clock.now();
-            for deed in self.service.decide(now) {
-                match deed {
-                    Deed::Send { ask, leg, worker, addr } => self.send(ask, leg, worker, addr, now),
-                    Deed::Drop { ask, leg } => self.give_up(ask, leg, Ending::Cancelled, now),
-                    Deed::Refuse { ask, retry_after } => {
+            for command in self.service.decide(now) {
+                match command {
+                    Command::Send { ask, attempt, worker, addr } => {
+                        self.send(ask, attempt, worker, addr, now)
+                    }
+                    Command::Drop { ask, attempt } => {
+                        self.give_up(ask, attempt, AttemptResult::Cancelled, now)
+                    }
+                    Command::Refuse { ask, retry_after } => {
                         let advice = match retry_after > 0.0 {
                             true => format!("Retry-After: {}\r\n", (retry_after / 1e3).ceil().max(1.0)),
                             false => String::new(),
                         };
                         self.finish(ask, 503, &advice);
                     }
-                    Deed::Fail { ask } => {
+                    Command::Fail { ask } => {
                         let late = self.exchanges.get(&ask).is_some_and(|x| x.expires <= now);
                         self.finish(ask, if late { 504 } else { 502 }, "");
                     }
@@ -322,7 +326,7 @@
         }
     }
 
-    fn all_fronts(&self, which: impl Fn(&Front) -> bool) -> Vec<Key> {
+    fn all_fronts(&self, which: impl Fn(&Front) -> bool) -> Vec<ConnectionId> {
         let fits = |s: &Socket| matches!(&s.role, Role::Front(f) if which(f));
         self.sockets.iter().filter(|(_, s)| fits(s)).map(|(_, s)| s.key).collect()
     }
@@ -350,7 +354,7 @@
     }
 
     fn accept_managers(&mut self) {
-        while let Some(Ok((stream, _))) = self.management.as_ref().map(TcpListener::accept) {
+        while let Some(Ok((stream, _))) = self.admin_listener.as_ref().map(TcpListener::accept) {
             self.add_front(stream, true);
         }
     }
@@ -375,11 +379,11 @@
         }
     }
 
-    fn add(&mut self, mut stream: TcpStream, role: Role) -> io::Result<Key> {
+    fn add(&mut self, mut stream: TcpStream, role: Role) -> io::Result<ConnectionId> {
         let _ = stream.set_nodelay(true); // a delay at worst
         let entry = self.sockets.vacant_entry();
         self.serial += 1;
-        let key = Key { slot: entry.key(), serial: self.serial };
+        let key = ConnectionId { slot: entry.key(), serial: self.serial };
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(key.slot), interest)?;
         match role {
@@ -390,25 +394,25 @@
         Ok(key)
     }
 
-    fn socket(&mut self, key: Key) -> Option<&mut Socket> {
+    fn socket(&mut self, key: ConnectionId) -> Option<&mut Socket> {
         self.sockets.get_mut(key.slot).filter(|s| s.key == key)
     }
 
-    fn front(&mut self, key: Key) -> Option<(&mut Front, &mut Outbox)> {
+    fn front(&mut self, key: ConnectionId) -> Option<(&mut Front, &mut Outbox)> {
         match self.socket(key) {
             Some(Socket { role: Role::Front(f), out, .. }) => Some((f, out)),
             _ => None,
         }
     }
 
-    fn back(&mut self, key: Key) -> Option<(&mut Back, &mut Outbox)> {
+    fn back(&mut self, key: ConnectionId) -> Option<(&mut Back, &mut Outbox)> {
         match self.socket(key) {
             Some(Socket { role: Role::Back(b), out, .. }) => Some((b, out)),
             _ => None,
         }
     }
 
-    fn close(&mut self, key: Key) {
+    fn close(&mut self, key: ConnectionId) {
         if self.socket(key).is_none() {
             return;
         }
@@ -429,7 +433,7 @@
     }
 
     /// Reads and writes what a connection can, up to its part of a turn.
-    fn drive(&mut self, key: Key) {
+    fn drive(&mut self, key: ConnectionId) {
         let Some(socket) = self.socket(key) else { return };
         if let Role::Back(b) = &mut socket.role {
             if b.connecting {
@@ -483,7 +487,7 @@
     }
 
     /// Writes what waits to be written; what waited for that room goes on.
-    fn flush(&mut self, key: Key) {
+    fn flush(&mut self, key: ConnectionId) {
         let Some(socket) = self.sockets.get_mut(key.slot).filter(|s| s.key == key) else { return };
         if matches!(&socket.role, Role::Back(b) if b.connecting) {
             return;
@@ -528,7 +532,7 @@
     }
 
     /// Hands on what has been read, as far as the other side takes it.
-    fn pieces(&mut self, key: Key) {
+    fn pieces(&mut self, key: ConnectionId) {
         let now = self.clock.now();
         while let Some(socket) = self.sockets.get(key.slot).filter(|s| s.key == key) {
             match &socket.role {
@@ -562,7 +566,7 @@
                     }
                 }
                 Role::Back(b) => {
-                    let Some((ask, leg)) = b.ask else { return };
+                    let Some((ask, attempt)) = b.ask else { return };
                     let Some(x) = self.exchanges.get(&ask) else { return };
                     let client = self.sockets.get(x.front.slot).filter(|s| s.key == x.front);
                     if client.is_some_and(|s| s.out.unsent().len() >= FULL) {
@@ -570,7 +574,7 @@
                     }
                     let Some((b, _)) = self.back(key) else { return };
                     match b.reader.piece() {
-                        Ok(Some(piece)) => self.worker_sent(key, ask, leg, piece, now),
+                        Ok(Some(piece)) => self.worker_sent(key, ask, attempt, piece, now),
                         Ok(None) => return,
                         Err(_) => return self.broken(key),
                     }
@@ -579,7 +583,7 @@
         }
     }
 
-    fn client_sent(&mut self, key: Key, piece: Piece, now: Millis) {
+    fn client_sent(&mut self, key: ConnectionId, piece: Piece, now: Millis) {
         match piece {
             Piece::Head(head) => self.begin(key, head, now),
             Piece::Body(bytes) => self.body(key, &bytes),
@@ -596,7 +600,7 @@
         }
     }
 
-    fn body(&mut self, key: Key, bytes: &[u8]) {
+    fn body(&mut self, key: ConnectionId, bytes: &[u8]) {
         let Some((f, _)) = self.front(key) else { return };
         let Some(ask) = f.ask else { return }; // answered before it was whole
         let Some(framing) = self.exchanges.get(&ask).map(|x| x.head.framing) else { return };
@@ -621,7 +625,7 @@
     }
 
     /// A request begins.
-    fn begin(&mut self, key: Key, head: Head, now: Millis) {
+    fn begin(&mut self, key: ConnectionId, head: Head, now: Millis) {
         let Some((f, out)) = self.front(key) else { return };
         f.read = false;
         f.last = !head.keeps;
@@ -660,9 +664,19 @@
         let ask = self.service.arrived(pool, head.method(), whole, session, now);
         let expires = now + self.service.pool(pool).timeout;
         let (back, body, answer) = (None, Vec::new(), None);
-        let (leg, dropped) = (0, false);
-        let x =
-            Exchange { front: key, back, leg, head, target, body, dropped, whole: false, answer, expires };
+        let (attempt, dropped) = (AttemptId(0), false);
+        let x = Exchange {
+            front: key,
+            back,
+            attempt,
+            head,
+            target,
+            body,
+            dropped,
+            whole: false,
+            answer,
+            expires,
+        };
         self.exchanges.insert(ask, x);
         self.timers.set(expires, Due::Ask(ask));
         if let Some((f, _)) = self.front(key) {
@@ -672,7 +686,7 @@
     }
 
     /// An operator's call.
-    fn manage(&mut self, key: Key, head: &Head) {
+    fn manage(&mut self, key: ConnectionId, head: &Head) {
         let (status, body) = match (head.method(), head.target().split('?').next().unwrap_or("")) {
             ("GET", "/healthcheck") => (if self.leaving.is_some() { 503 } else { 200 }, String::new()),
             ("GET", "/stats") => (200, self.service.stats().to_string()),
@@ -682,7 +696,7 @@
     }
 
     /// What a client sends is no request, or none that is served here.
-    fn wrong(&mut self, key: Key, wrong: Wrong) {
+    fn wrong(&mut self, key: ConnectionId, wrong: Wrong) {
         let Some((f, _)) = self.front(key) else { return };
         if let Some(ask) = f.ask {
             // The request at hand goes wrong in its body.
@@ -692,7 +706,7 @@
     }
 
     /// The last bytes of an answer.
-    fn reply(&mut self, key: Key, bytes: &[u8], keep: bool) {
+    fn reply(&mut self, key: ConnectionId, bytes: &[u8], keep: bool) {
         let leaving = self.leaving.is_some();
         let Some((f, out)) = self.front(key) else { return };
         out.put(bytes);
@@ -721,32 +735,32 @@
     }
 
     /// An answer has broken off: its client sees that by the end of the connection.
-    fn cut(&mut self, key: Key) {
+    fn cut(&mut self, key: ConnectionId) {
         if let Some((f, _)) = self.front(key) {
             f.ask = None;
         }
         self.close(key);
     }
 
-    fn send(&mut self, ask: Ask, leg: u8, worker: WorkerId, addr: SocketAddr, now: Millis) {
+    fn send(&mut self, ask: Ask, attempt: AttemptId, worker: WorkerId, addr: SocketAddr, now: Millis) {
         let place = (ask.pool, worker);
         let Some(x) = self.exchanges.get_mut(&ask) else {
-            return self.service.settled(ask, leg, Ending::Moot, false, now);
+            return self.service.settled(ask, attempt, AttemptResult::NotSent, false, now);
         };
         if x.dropped || x.answer.is_some() {
-            return self.service.settled(ask, leg, Ending::Moot, false, now);
+            return self.service.settled(ask, attempt, AttemptResult::NotSent, false, now);
         }
         let mut request = request_head(&x.head, &x.target);
         request.extend_from_slice(&x.body);
         let headless = x.head.method() == "HEAD";
-        x.leg = leg;
+        x.attempt = attempt;
         let (limit, timeout) =
             (self.service.pool(ask.pool).connect_timeout, self.service.pool(ask.pool).timeout);
         let kept = self.idle.get_mut(&place).and_then(Vec::pop);
         let key = match kept {
             Some(key) => key,
             None if self.backs >= self.most_backs && !self.free_back() => {
-                return self.service.settled(ask, leg, Ending::Moot, false, now);
+                return self.service.settled(ask, attempt, AttemptResult::NotSent, false, now);
             }
             None => {
                 let (until, reader) = (now + limit, Reader::new(false));
@@ -765,13 +779,13 @@
                     Ok(key) => key,
                     Err(e) => {
                         log::warn!("no connection to {addr}: {e}");
-                        return self.service.settled(ask, leg, Ending::ConnectFailed, false, now);
+                        return self.service.settled(ask, attempt, AttemptResult::ConnectFailed, false, now);
                     }
                 }
             }
         };
         if let Some((b, out)) = self.back(key) {
-            b.ask = Some((ask, leg));
+            b.ask = Some((ask, attempt));
             (b.written, b.begun, b.reader.headless) = (false, false, headless);
             b.until = if b.connecting { now + limit } else { now + timeout };
             let until = b.until;
@@ -793,13 +807,13 @@
     }
 
     /// Gives up an attempt.
-    fn give_up(&mut self, ask: Ask, leg: u8, ending: Ending, now: Millis) {
-        let back = self.exchanges.get_mut(&ask).filter(|x| x.leg == leg).and_then(|x| x.back.take());
+    fn give_up(&mut self, ask: Ask, attempt: AttemptId, ending: AttemptResult, now: Millis) {
+        let back = self.exchanges.get_mut(&ask).filter(|x| x.attempt == attempt).and_then(|x| x.back.take());
         back.into_iter().for_each(|key| self.close(key));
-        self.service.settled(ask, leg, ending, false, now);
+        self.service.settled(ask, attempt, ending, false, now);
     }
 
-    fn worker_sent(&mut self, key: Key, ask: Ask, leg: u8, piece: Piece, now: Millis) {
+    fn worker_sent(&mut self, key: ConnectionId, ask: Ask, attempt: AttemptId, piece: Piece, now: Millis) {
         let Some(x) = self.exchanges.get_mut(&ask) else { return };
         let front = x.front;
         match piece {
@@ -821,7 +835,7 @@
                     f.last |= !keep;
                     out.put(&bytes);
                 }
-                self.service.streaming(ask, leg);
+                self.service.streaming(ask, attempt);
                 self.flush(front);
             }
             Piece::Body(bytes) => {
@@ -835,15 +849,15 @@
                 }
                 self.flush(front);
             }
-            Piece::End => self.answered(key, ask, leg, now),
+            Piece::End => self.answered(key, ask, attempt, now),
         }
     }
 
     /// An answer is whole.
-    fn answered(&mut self, key: Key, ask: Ask, leg: u8, now: Millis) {
+    fn answered(&mut self, key: ConnectionId, ask: Ask, attempt: AttemptId, now: Millis) {
         let Some(x) = self.exchanges.remove(&ask) else { return };
         let end: &[u8] = if x.answer == Some(Framing::Chunked) { CHUNKS_END } else { b"" };
-        self.service.settled(ask, leg, Ending::Ok, true, now);
+        self.service.settled(ask, attempt, AttemptResult::Success, true, now);
         let reusable = x.whole;
         let mut keeps = false;
         if let Some((b, out)) = self.back(key) {
@@ -863,12 +877,12 @@
     }
 
     /// The other side has ended a connection.
-    fn ended(&mut self, key: Key) {
+    fn ended(&mut self, key: ConnectionId) {
         let now = self.clock.now();
         if let Some((b, _)) = self.back(key) {
-            if let (Some((ask, leg)), true) = (b.ask, b.reader.closed()) {
+            if let (Some((ask, attempt)), true) = (b.ask, b.reader.closed()) {
                 b.kept = false;
-                return self.answered(key, ask, leg, now);
+                return self.answered(key, ask, attempt, now);
             }
         }
         self.broken(key);
@@ -878,16 +892,16 @@
     fn leave(&mut self, ask: Ask) {
         let now = self.clock.now();
         let Some(x) = self.exchanges.get(&ask) else { return };
-        let (leg, is_out) = (x.leg, x.back.is_some());
+        let (attempt, is_out) = (x.attempt, x.back.is_some());
         self.service.gone(ask);
         if is_out {
-            self.give_up(ask, leg, Ending::Cancelled, now);
+            self.give_up(ask, attempt, AttemptResult::Cancelled, now);
         }
         self.exchanges.remove(&ask);
     }
 
     /// A connection has ended, failed or run out of time.
-    fn broken(&mut self, key: Key) {
+    fn broken(&mut self, key: ConnectionId) {
         let now = self.clock.now();
         let Some(socket) = self.socket(key) else { return };
         match &mut socket.role {
@@ -900,31 +914,31 @@
                 let (ask, late) = (b.ask, b.until <= now);
                 // What was not written cannot have run; a kept connection that ends at once says nothing.
                 let ending = match () {
-                    _ if b.connecting || !b.written => Ending::ConnectFailed,
-                    _ if late => Ending::Timeout,
-                    _ if b.kept && !b.begun => Ending::Stale,
-                    _ => Ending::Reset,
+                    _ if b.connecting || !b.written => AttemptResult::ConnectFailed,
+                    _ if late => AttemptResult::TimedOut,
+                    _ if b.kept && !b.begun => AttemptResult::StaleConnection,
+                    _ => AttemptResult::Reset,
                 };
                 self.close(key);
-                let Some((ask, leg)) = ask else { return };
+                let Some((ask, attempt)) = ask else { return };
                 let begun = self.exchanges.get(&ask).is_some_and(|x| x.answer.is_some());
                 if begun {
                     // Its client has had a part of it: one honest end, and nothing goes again.
                     if let Some(x) = self.exchanges.remove(&ask) {
                         self.cut(x.front);
                     }
-                    return self.service.settled(ask, leg, ending, true, now);
+                    return self.service.settled(ask, attempt, ending, true, now);
                 }
                 if let Some(x) = self.exchanges.get_mut(&ask) {
                     x.back = None;
                 }
-                self.service.settled(ask, leg, ending, false, now);
+                self.service.settled(ask, attempt, ending, false, now);
             }
         }
     }
 
     /// The time has come to look at a connection.
-    fn socket_due(&mut self, key: Key, now: Millis) {
+    fn socket_due(&mut self, key: ConnectionId, now: Millis) {
         let Some(socket) = self.socket(key) else { return };
         match &mut socket.role {
             Role::Front(f) if f.ask.is_some() => {}
@@ -947,8 +961,8 @@
     fn ask_due(&mut self, ask: Ask, now: Millis) {
         let Some(x) = self.exchanges.get(&ask).filter(|x| x.answer.is_none()) else { return };
         if x.back.is_some() {
-            let leg = x.leg;
-            self.give_up(ask, leg, Ending::Timeout, now);
+            let attempt = x.attempt;
+            self.give_up(ask, attempt, AttemptResult::TimedOut, now);
         }
     }
 }
--- a/node/src/direct/service.rs
+++ b/crates/node/src/direct/service.rs
@@ -2,12 +2,12 @@
 //! shares. What has happened goes in, what is to be done comes out, once a turn.
 
 use crate::clock::{Millis, Timers};
-use postusher::{
-    Action, Class, Dispatcher, Effect, Ending, Event, Field, Job, JobId, ListKind, Member, Outcome,
-    Readiness, Settings, WorkerId,
+use postusher_decision::{
+    Action, AttemptId, AttemptOutcome, AttemptResult, Class, Dispatcher, Endpoint, EndpointState, Event,
+    Idempotency, Job, JobId, ListUpdate, ReportField, Settings, WorkerId,
 };
 use postusher_direct::{Keeper, Listing, Proposal, Routes};
-use postusher_settings::micros;
+use postusher_settings::micros_from_millis;
 use postusher_setup::{Pool, Repeat, State};
 use std::collections::HashMap;
 use std::net::{SocketAddr, ToSocketAddrs};
@@ -34,11 +34,11 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
+pub enum Command {
     /// Send a request to a worker, as this attempt.
-    Send { ask: Ask, leg: u8, worker: WorkerId, addr: SocketAddr },
+    Send { ask: Ask, attempt: AttemptId, worker: WorkerId, addr: SocketAddr },
     /// Give up an attempt.
-    Drop { ask: Ask, leg: u8 },
+    Drop { ask: Ask, attempt: AttemptId },
     /// The final answer: turned away; come back after so long (0: no advice).
     Refuse { ask: Ask, retry_after: Millis },
     /// The final answer: it failed, and may have run.
@@ -79,7 +79,7 @@
     }
 }
 
-struct Leg {
+struct Attempt {
     seat: usize,
     sent: Millis,
     out: bool,
@@ -88,11 +88,11 @@
 struct Open {
     /// For whom the keeper has proposed it, where it names no session.
     proposed: Option<usize>,
-    legs: Vec<Leg>,
+    attempts: Vec<Attempt>,
     answered: bool,
 }
 
-struct Group {
+struct DeduplicationScope {
     pool: Pool,
     module: Dispatcher,
     keeper: Keeper,
@@ -108,10 +108,10 @@
 
 /// All pools.
 pub struct Service {
-    groups: Vec<Group>,
+    groups: Vec<DeduplicationScope>,
     routes: Routes,
     last: u32,
-    deeds: Vec<Deed>,
+    commands: Vec<Command>,
 }
 
 /// Where a worker listens; names are looked up once, at the start and when the setup is read again.
@@ -126,32 +126,37 @@
 
 fn settings(pool: &Pool) -> Settings {
     // What waits for a slot may do so for a part of its time.
-    let goal = micros((pool.timeout / 10.0).max(1_000.0));
+    let goal = micros_from_millis((pool.timeout / 10.0).max(1_000.0));
     Settings {
-        classes: vec![Class::new(Effect::Repeatable, goal), Class::new(Effect::Once, goal)],
-        fields: vec![Field::FreeSlots],
-        cancel: true,
-        retry_after: true,
-        max_retry_after: micros(LONGEST_ADVICE),
+        classes: vec![
+            Class::new(Idempotency::Idempotent, goal),
+            Class::new(Idempotency::NotIdempotent, goal),
+        ],
+        report_fields: vec![ReportField::FreeSlots],
+        cancellation_allowed: true,
+        sends_retry_after: true,
+        max_retry_after: micros_from_millis(LONGEST_ADVICE),
         max_attempts: pool.attempts.min(255) as u8,
-        keepalive: micros(10_000.0),
+        keepalive: micros_from_millis(10_000.0),
         ..Settings::default()
     }
 }
 
-impl Group {
-    fn new(pool: Pool, seed: u64, now: Millis) -> Result<Group, String> {
-        let (module, keeper) = (Dispatcher::new(settings(&pool), seed, micros(now)), Keeper::new(&pool));
+impl DeduplicationScope {
+    fn new(pool: Pool, seed: u64, now: Millis) -> Result<DeduplicationScope, String> {
+        let (module, keeper) =
+            (Dispatcher::new(settings(&pool), seed, micros_from_millis(now)), Keeper::new(&pool));
         let (ids, open, seats, events) = (HashMap::new(), HashMap::new(), Vec::new(), Vec::new());
         let (timers, doubtful) = (Timers::new(), Vec::new());
-        let mut group = Group { pool, module, keeper, seats, ids, open, events, timers, doubtful };
+        let mut group =
+            DeduplicationScope { pool, module, keeper, seats, ids, open, events, timers, doubtful };
         let addrs = resolve(&group.pool)?;
-        group.seat(addrs, ListKind::Cached);
+        group.seat(addrs, ListUpdate::Cached);
         Ok(group)
     }
 
     /// Gives the workers of the pool their seats, and tells the module of all.
-    fn seat(&mut self, addrs: Vec<SocketAddr>, kind: ListKind) {
+    fn seat(&mut self, addrs: Vec<SocketAddr>, update: ListUpdate) {
         let mut old: HashMap<String, Seat> =
             std::mem::take(&mut self.seats).into_iter().map(|s| (s.name.clone(), s)).collect();
         for (w, addr) in self.pool.workers.iter().zip(addrs) {
@@ -163,36 +168,40 @@
             let most = w.most.unwrap_or(MOST);
             self.seats.push(Seat { name: w.id.clone(), id, addr, most, in_flight, had, usual });
         }
-        let members = self.members();
-        self.events.push(Event::Members { kind, members });
+        let endpoints = self.members();
+        self.events.push(Event::EndpointList { update, endpoints });
         // How many requests each may have; the module goes by what workers report, and these report nothing.
         for seat in &self.seats {
             let report = vec![seat.most.saturating_sub(seat.in_flight) as f64];
-            self.events.push(Event::Probed { worker: seat.id, ending: Ending::Ok, report });
+            self.events.push(Event::HealthCheckEnded {
+                worker: seat.id,
+                result: AttemptResult::Success,
+                report,
+            });
         }
     }
 
     /// A request that has its answer and no attempt out is over.
     fn forget(&mut self) {
         for job in std::mem::take(&mut self.doubtful) {
-            let over = |o: &Open| o.answered && o.legs.iter().all(|l| !l.out);
+            let over = |o: &Open| o.answered && o.attempts.iter().all(|l| !l.out);
             if self.open.get(&job).is_some_and(over) {
                 self.open.remove(&job);
             }
         }
     }
 
-    fn members(&self) -> Vec<Member> {
+    fn members(&self) -> Vec<Endpoint> {
         let listings = self.keeper.listings();
         let one = |(n, seat): (usize, &Seat)| {
-            let readiness = match listings.get(n) {
-                Some(Listing::Ready) => Readiness::Ready,
-                Some(Listing::Reserved) => Readiness::Reserved,
-                Some(Listing::Gone) | None => Readiness::Gone,
+            let state = match listings.get(n) {
+                Some(Listing::Ready) => EndpointState::Ready,
+                Some(Listing::Reserved) => EndpointState::Reserved,
+                Some(Listing::Gone) | None => EndpointState::Removed,
             };
             // Each is a kind of its own: one that is slower than others is not sick.
             let (worker, kind) = (seat.id, seat.id.0 as u16);
-            Member { worker, readiness, heft: 1.0, up_since: 0, cell: kind, kind, zone: 0 }
+            Endpoint { worker, state, capacity_weight: 1.0, started_at: 0, cell: kind, kind, zone: 0 }
         };
         self.seats.iter().enumerate().map(one).collect()
     }
@@ -200,8 +209,8 @@
     /// The module hears of another rotation before anything else.
     fn turn(&mut self, now: Millis) {
         if self.keeper.turn(now) {
-            let members = self.members();
-            self.events.insert(0, Event::Members { kind: ListKind::Delta, members });
+            let endpoints = self.members();
+            self.events.insert(0, Event::EndpointList { update: ListUpdate::Changes, endpoints });
         }
     }
 }
@@ -213,9 +222,9 @@
     /// A worker's address is not known.
     pub fn new(pools: Vec<Pool>, now: Millis) -> Result<Service, String> {
         let routes = Routes::new(&pools);
-        let one = |(n, pool): (usize, Pool)| Group::new(pool, 7 + n as u64, now);
+        let one = |(n, pool): (usize, Pool)| DeduplicationScope::new(pool, 7 + n as u64, now);
         let groups = pools.into_iter().enumerate().map(one).collect::<Result<_, _>>()?;
-        Ok(Service { groups, routes, last: 0, deeds: Vec::new() })
+        Ok(Service { groups, routes, last: 0, commands: Vec::new() })
     }
 
     /// The pools read again: those that stay keep what is known of their workers. Pools come and go with a restart.
@@ -235,13 +244,13 @@
             let seats: Vec<String> = group.seats.iter().map(|s| s.name.clone()).collect();
             group.keeper.again(&pool, now);
             group.pool = pool;
-            group.seat(addrs, ListKind::Full);
+            group.seat(addrs, ListUpdate::Complete);
             let place = |name: &String| group.seats.iter().position(|s| s.name == *name);
             let moved: Vec<Option<usize>> = seats.iter().map(place).collect();
             for open in group.open.values_mut() {
                 open.proposed = open.proposed.and_then(|n| moved.get(n).copied().flatten());
-                for leg in &mut open.legs {
-                    leg.seat = moved.get(leg.seat).copied().flatten().unwrap_or(usize::MAX);
+                for attempt in &mut open.attempts {
+                    attempt.seat = moved.get(attempt.seat).copied().flatten().unwrap_or(usize::MAX);
                 }
             }
         }
@@ -284,23 +293,23 @@
             Proposal::Any | Proposal::Refuse => None,
         };
         let proposed = wish.map(|(n, _)| n).filter(|_| session.is_none());
-        group.open.insert(job, Open { proposed, legs: Vec::new(), answered: false });
+        group.open.insert(job, Open { proposed, attempts: Vec::new(), answered: false });
         let ask = Ask { pool, job };
         if proposal == Proposal::Refuse {
-            self.deeds.push(Deed::Refuse { ask, retry_after: 1_000.0 });
+            self.commands.push(Command::Refuse { ask, retry_after: 1_000.0 });
             group.open.remove(&job);
             return ask;
         }
-        if let Some((n, only)) = wish {
-            group.events.push(Event::Wished { job, worker: group.seats[n].id, only });
+        if let Some((n, required)) = wish {
+            group.events.push(Event::PlacementOverride { job, worker: group.seats[n].id, required });
         }
-        let expires = micros(now + group.pool.timeout);
+        let deadline = micros_from_millis(now + group.pool.timeout);
         let class = u16::from(!(again && whole));
-        group.events.push(Event::Arrived(Job {
+        group.events.push(Event::JobArrived(Job {
             id: job,
             class,
-            expires,
-            hint: None,
+            deadline,
+            size_hint: None,
             slots: 1,
             key: 0,
             customer: 0,
@@ -309,32 +318,34 @@
     }
 
     /// The answer has begun, and belongs to the client.
-    pub fn streaming(&mut self, ask: Ask, leg: u8) {
-        self.groups[ask.pool].events.push(Event::Streaming { job: ask.job, leg });
+    pub fn streaming(&mut self, ask: Ask, attempt: AttemptId) {
+        self.groups[ask.pool].events.push(Event::AnswerStreaming { job: ask.job, attempt });
     }
 
     /// An attempt has ended; `done`: its client has the answer by it.
-    pub fn settled(&mut self, ask: Ask, leg: u8, ending: Ending, done: bool, now: Millis) {
+    pub fn settled(&mut self, ask: Ask, attempt: AttemptId, result: AttemptResult, done: bool, now: Millis) {
         let group = &mut self.groups[ask.pool];
         let Some(open) = group.open.get_mut(&ask.job) else { return };
-        let Some(l) = open.legs.get_mut(usize::from(leg)).filter(|l| l.out) else { return };
+        let Some(l) = open.attempts.get_mut(attempt.index()).filter(|l| l.out) else { return };
         l.out = false;
         open.answered |= done;
         let done = open.answered;
         group.doubtful.push(ask.job);
         let (seat, took) = (l.seat, now - l.sent);
-        let mut latency = micros(took);
+        let mut latency = micros_from_millis(took);
         let mut report = Vec::new();
         if let Some(s) = group.seats.get_mut(seat) {
             s.in_flight = s.in_flight.saturating_sub(1);
-            latency = micros(s.against_usual(took, matches!(ending, Ending::Ok | Ending::Error)));
+            latency = micros_from_millis(
+                s.against_usual(took, matches!(result, AttemptResult::Success | AttemptResult::Error)),
+            );
             report.push(s.most.saturating_sub(s.in_flight) as f64);
-            match ending {
-                Ending::Ok | Ending::Error => {
+            match result {
+                AttemptResult::Success | AttemptResult::Error => {
                     s.had.answered += 1;
                     group.keeper.answered(seat);
                 }
-                Ending::ConnectFailed | Ending::Reset | Ending::Timeout => {
+                AttemptResult::ConnectFailed | AttemptResult::Reset | AttemptResult::TimedOut => {
                     s.had.failed += 1;
                     group.keeper.failed(seat, now);
                 }
@@ -342,7 +353,14 @@
             }
         }
         group.turn(now);
-        group.events.push(Event::Settled(Outcome { job: ask.job, leg, ending, latency, done, report }));
+        group.events.push(Event::AttemptEnded(AttemptOutcome {
+            job: ask.job,
+            attempt,
+            result,
+            latency,
+            job_answered: done,
+            report,
+        }));
     }
 
     /// The client has left.
@@ -351,37 +369,39 @@
         if let Some(open) = group.open.get_mut(&ask.job).filter(|o| !o.answered) {
             open.answered = true;
             group.doubtful.push(ask.job);
-            group.events.push(Event::ClientGone(ask.job));
+            group.events.push(Event::ClientDisconnected(ask.job));
         }
     }
 
     /// Lets timers come due, hands the modules all that was gathered, and gives what they want done.
-    pub fn decide(&mut self, now: Millis) -> Vec<Deed> {
+    pub fn decide(&mut self, now: Millis) -> Vec<Command> {
         for (pool, group) in self.groups.iter_mut().enumerate() {
             while let Some(cookie) = group.timers.due(now) {
-                group.events.push(Event::Timer(cookie));
+                group.events.push(Event::TimerExpired(cookie));
             }
             group.turn(now);
             let mut actions = Vec::new();
-            group.module.handle_all(group.events.drain(..), micros(now), &mut actions);
+            group.module.handle_all(group.events.drain(..), micros_from_millis(now), &mut actions);
             for action in actions {
                 let ask = |job| Ask { pool, job };
                 match action {
-                    Action::Send { job, worker, .. } => {
+                    Action::StartAttempt { job, worker, .. } => {
                         let seat = group.seats.iter().position(|s| s.id == worker);
                         let (Some(seat), Some(open)) = (seat, group.open.get_mut(&job)) else { continue };
-                        let leg = open.legs.len() as u8;
-                        open.legs.push(Leg { seat, sent: now, out: true });
-                        if let Some(proposed) = open.proposed.take().filter(|_| leg == 0) {
+                        let attempt = AttemptId(open.attempts.len() as u8);
+                        open.attempts.push(Attempt { seat, sent: now, out: true });
+                        if let Some(proposed) = open.proposed.take().filter(|_| attempt == AttemptId(0)) {
                             group.keeper.sent(proposed, seat);
                         }
                         let s = &mut group.seats[seat];
                         s.in_flight += 1;
                         s.had.sent += 1;
-                        self.deeds.push(Deed::Send { ask: ask(job), leg, worker, addr: s.addr });
+                        self.commands.push(Command::Send { ask: ask(job), attempt, worker, addr: s.addr });
+                    }
+                    Action::CancelAttempt { job, attempt } => {
+                        self.commands.push(Command::Drop { ask: ask(job), attempt })
                     }
-                    Action::Withdraw { job, leg } => self.deeds.push(Deed::Drop { ask: ask(job), leg }),
-                    Action::Refuse { job, retry_after } => {
+                    Action::Reject { job, retry_after } => {
                         let Some(open) = group.open.get_mut(&job).filter(|o| !o.answered) else { continue };
                         open.answered = true;
                         group.doubtful.push(job);
@@ -389,38 +409,41 @@
                             group.keeper.undone(proposed);
                         }
                         let retry_after = retry_after as f64 / 1e3;
-                        self.deeds.push(Deed::Refuse { ask: ask(job), retry_after });
+                        self.commands.push(Command::Refuse { ask: ask(job), retry_after });
                     }
                     Action::Fail { job } => {
                         let Some(open) = group.open.get_mut(&job).filter(|o| !o.answered) else { continue };
                         open.answered = true;
                         group.doubtful.push(job);
-                        self.deeds.push(Deed::Fail { ask: ask(job) });
+                        self.commands.push(Command::Fail { ask: ask(job) });
                     }
-                    Action::Wake { after, cookie } => group.timers.set(now + after as f64 / 1e3, cookie),
+                    Action::SetTimer { after, timer } => group.timers.set(now + after as f64 / 1e3, timer),
                     // Nothing is asked of workers besides requests, and connections end by themselves.
-                    Action::Probe { .. } | Action::Subscribe | Action::Disconnect { .. } => {}
+                    Action::CheckHealth { .. }
+                    | Action::WatchEndpoints
+                    | Action::CloseIdleConnections { .. } => {}
                 }
             }
             group.forget();
         }
-        std::mem::take(&mut self.deeds)
+        std::mem::take(&mut self.commands)
     }
 
     /// Whether a module is still owed something.
     pub fn has_events(&self) -> bool {
-        !self.deeds.is_empty() || self.groups.iter().any(|g| !g.events.is_empty())
+        !self.commands.is_empty() || self.groups.iter().any(|g| !g.events.is_empty())
     }
 
     /// When something is to be done by time alone.
     pub fn next_due(&self) -> Option<Millis> {
-        let one = |g: &Group| g.timers.next().into_iter().chain(g.keeper.next_due()).reduce(f64::min);
+        let one =
+            |g: &DeduplicationScope| g.timers.next().into_iter().chain(g.keeper.next_due()).reduce(f64::min);
         self.groups.iter().filter_map(one).reduce(f64::min)
     }
 
-    /// The figures, by pool and worker.
+    /// The metrics, by pool and worker.
     pub fn stats(&self) -> serde_json::Value {
-        let worker = |(n, s): (usize, &Seat), g: &Group, listings: &[Listing]| {
+        let worker = |(n, s): (usize, &Seat), g: &DeduplicationScope, listings: &[Listing]| {
             let state = match g.pool.workers[n].state {
                 State::Live => "live",
                 State::Draining => "draining",
@@ -432,7 +455,7 @@
                 "avoided": g.module.avoids(s.id)});
             (s.name.clone(), value)
         };
-        let pool = |g: &Group| {
+        let pool = |g: &DeduplicationScope| {
             let listings = g.keeper.listings();
             let workers: serde_json::Map<_, _> =
                 g.seats.iter().enumerate().map(|s| worker(s, g, &listings)).collect();
@@ -455,11 +478,11 @@
         <worker id="a" addr="127.0.0.1:1" weight="3" route="a"/><worker id="b" addr="127.0.0.1:2" route="b"/>
         <worker id="d" addr="127.0.0.1:3" state="draining" route="d"/></pool>"#;
 
-    /// Sends one request; gives the worker's port, or the last deed's name.
+    /// Sends one request; gives the worker's port, or the last command's name.
     fn ask(s: &mut Service, method: &str, session: Option<&str>, now: Millis) -> (Ask, u16) {
         let ask = s.arrived(0, method, true, session, now);
         let sent = s.decide(now).into_iter().find_map(|d| match d {
-            Deed::Send { ask: a, addr, .. } if a == ask => Some(addr.port()),
+            Command::Send { ask: a, addr, .. } if a == ask => Some(addr.port()),
             _ => None,
         });
         (ask, sent.unwrap_or(0))
@@ -473,7 +496,7 @@
         for n in 0..400 {
             let now = 1e6 + f64::from(n);
             let (ask, port) = ask(&mut s, "GET", None, now);
-            s.settled(ask, 0, Ending::Ok, true, now + 0.5);
+            s.settled(ask, AttemptId(0), AttemptResult::Success, true, now + 0.5);
             *ports.entry(port).or_insert(0) += 1;
         }
         assert_eq!((ports[&1], ports[&2], ports.len()), (300, 100, 2));
@@ -488,21 +511,22 @@
     #[test]
     fn what_may_have_run_goes_out_again_only_where_its_method_is_safe() {
         for (method, ending, again) in [
-            ("GET", Ending::Reset, true),
-            ("POST", Ending::Reset, false),
-            ("POST", Ending::ConnectFailed, true),
-            ("PUT", Ending::Timeout, false),
+            ("GET", AttemptResult::Reset, true),
+            ("POST", AttemptResult::Reset, false),
+            ("POST", AttemptResult::ConnectFailed, true),
+            ("PUT", AttemptResult::TimedOut, false),
         ] {
             let mut s = service(TWO);
             s.decide(1e6);
             let (one, first) = ask(&mut s, method, None, 1e6);
-            s.settled(one, 0, ending, false, 1e6 + 5.0);
-            let deeds = s.decide(1e6 + 5.0);
-            let second =
-                deeds.iter().any(|d| matches!(d, Deed::Send { leg: 1, addr, .. } if addr.port() != first));
-            assert_eq!(second, again, "{method} {ending:?}: {deeds:?}");
-            let failed = deeds.contains(&Deed::Fail { ask: one });
-            assert_eq!(failed, !again, "{method} {ending:?}: {deeds:?}");
+            s.settled(one, AttemptId(0), ending, false, 1e6 + 5.0);
+            let commands = s.decide(1e6 + 5.0);
+            let second = commands.iter().any(
+                |d| matches!(d, Command::Send { attempt: AttemptId(1), addr, .. } if addr.port() != first),
+            );
+            assert_eq!(second, again, "{method} {ending:?}: {commands:?}");
+            let failed = commands.contains(&Command::Fail { ask: one });
+            assert_eq!(failed, !again, "{method} {ending:?}: {commands:?}");
         }
     }
 
@@ -515,9 +539,15 @@
         s.decide(1e6);
         let (one, port) = ask(&mut s, "POST", None, 1e6);
         assert_eq!(port, 1);
-        s.settled(one, 0, Ending::ConnectFailed, false, 1e6 + 1.0);
-        let to = |deeds: Vec<Deed>| {
-            deeds.iter().find_map(|d| if let Deed::Send { addr, .. } = d { Some(addr.port()) } else { None })
+        s.settled(one, AttemptId(0), AttemptResult::ConnectFailed, false, 1e6 + 1.0);
+        let to = |commands: Vec<Command>| {
+            commands.iter().find_map(|d| {
+                if let Command::Send { addr, .. } = d {
+                    Some(addr.port())
+                } else {
+                    None
+                }
+            })
         };
         assert_eq!(to(s.decide(1e6 + 1.0)), Some(2));
         // And the active one has its requests again after its rest.
@@ -530,7 +560,7 @@
         let mut s = service(&strict);
         s.decide(1e6);
         let ask_gone = s.arrived(0, "GET", true, Some("nobody"), 1e6);
-        assert!(matches!(s.decide(1e6)[..], [Deed::Refuse { ask, .. }] if ask == ask_gone));
+        assert!(matches!(s.decide(1e6)[..], [Command::Refuse { ask, .. }] if ask == ask_gone));
         let new = strict.replace("id=\"b\"", "id=\"b\" state=\"draining\"");
         let pools = postusher_setup::read(&format!("<postusher>{new}</postusher>")).unwrap().pools;
         s.again(pools, 1e6 + 1.0).unwrap();
--- a/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// For so long discovery may hold a call in which nothing changes. Guards against: a watch that falls silent, which
-/// shows only once this is over; until then targets that drain or are gone count as they were.
+/// shows only once this is over; until then workers that drain or are gone count as they were.
 pub const WAIT: Millis = 4_000.0;
 /// An answer that has not come so long after that never will. What such a watch has to tell counts as told 2 s after
 /// the wait, so that this leaves time to ask again.
@@ -135,7 +135,7 @@
 
 /// Why a call to discovery brought no list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallError {
+pub enum DiscoveryError {
     /// No connection could be begun.
     NoConnection(String),
     /// The connection ended or failed before an answer.
@@ -156,34 +156,37 @@
     NotAList(String),
 }
 
-impl fmt::Display for CallError {
+impl fmt::Display for DiscoveryError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            CallError::NoConnection(why) => write!(f, "no connection: {why}"),
-            CallError::Ended => write!(f, "the connection ended"),
-            CallError::EndedInAnswer => write!(f, "the connection ended in the middle of an answer"),
-            CallError::TimedOut => write!(f, "no answer in time"),
-            CallError::StalledInAnswer => write!(f, "an answer has begun and does not go on"),
-            CallError::Status(status) => write!(f, "status {status}"),
-            CallError::TooLong(limit) => {
+            DiscoveryError::NoConnection(why) => write!(f, "no connection: {why}"),
+            DiscoveryError::Ended => write!(f, "the connection ended"),
+            DiscoveryError::EndedInAnswer => write!(f, "the connection ended in the middle of an answer"),
+            DiscoveryError::TimedOut => write!(f, "no answer in time"),
+            DiscoveryError::StalledInAnswer => write!(f, "an answer has begun and does not go on"),
+            DiscoveryError::Status(status) => write!(f, "status {status}"),
+            DiscoveryError::TooLong(limit) => {
                 write!(f, "the list is longer than {limit} bytes, an eighth of limits.memory_mb")
             }
-            CallError::NotHttp { fault, .. } => write!(f, "the answer is no HTTP (as status {})", fault.0),
-            CallError::NotAList(why) => write!(f, "the answer is no list: {why}"),
+            DiscoveryError::NotHttp { fault, .. } => {
+                write!(f, "the answer is no HTTP (as status {})", fault.0)
+            }
+            DiscoveryError::NotAList(why) => write!(f, "the answer is no list: {why}"),
         }
     }
 }
 
-impl CallError {
+impl DiscoveryError {
     /// Whether discovery has begun to answer with a list: what that says counts as told, though it is not known here.
-    pub fn hides_a_list(&self) -> bool {
+    pub fn hides_list(&self) -> bool {
         match self {
-            CallError::EndedInAnswer | CallError::StalledInAnswer => true,
-            CallError::TooLong(_) | CallError::NotAList(_) => true,
-            CallError::NotHttp { begins_well, .. } => *begins_well,
-            CallError::NoConnection(_) | CallError::Ended | CallError::TimedOut | CallError::Status(_) => {
-                false
-            }
+            DiscoveryError::EndedInAnswer | DiscoveryError::StalledInAnswer => true,
+            DiscoveryError::TooLong(_) | DiscoveryError::NotAList(_) => true,
+            DiscoveryError::NotHttp { begins_well, .. } => *begins_well,
+            DiscoveryError::NoConnection(_)
+            | DiscoveryError::Ended
+            | DiscoveryError::TimedOut
+            | DiscoveryError::Status(_) => false,
         }
     }
 }
@@ -222,13 +225,13 @@
     }
 
     /// Takes in what was read; gives the list once it is whole.
-    pub fn receive(&mut self, bytes: &[u8]) -> Option<Result<Answer, CallError>> {
+    pub fn receive(&mut self, bytes: &[u8]) -> Option<Result<Answer, DiscoveryError>> {
         self.decoder.feed(bytes);
         let begins_well = self.has_begun();
         match self.decoder.next() {
             Ok(message) => message.map(read),
-            Err(Fault(413)) if begins_well => Some(Err(CallError::TooLong(self.max_list))),
-            Err(fault) => Some(Err(CallError::NotHttp { fault, begins_well })),
+            Err(Fault(413)) if begins_well => Some(Err(DiscoveryError::TooLong(self.max_list))),
+            Err(fault) => Some(Err(DiscoveryError::NotHttp { fault, begins_well })),
         }
     }
 
@@ -240,32 +243,32 @@
     }
 
     /// It has ended: a list that goes to the end of the connection is whole now.
-    pub fn end(&mut self) -> Result<Answer, CallError> {
+    pub fn end(&mut self) -> Result<Answer, DiscoveryError> {
         let begun = self.has_begun();
         match self.decoder.end() {
             // Without a length, one that was cut off ends in the same way: it is no list then.
             Some(message) => read(message),
-            None if begun => Err(CallError::EndedInAnswer),
-            None => Err(CallError::Ended),
+            None if begun => Err(DiscoveryError::EndedInAnswer),
+            None => Err(DiscoveryError::Ended),
         }
     }
 
     /// It has run out of time.
-    pub fn timed_out(&self) -> CallError {
+    pub fn timed_out(&self) -> DiscoveryError {
         if self.has_begun() {
-            CallError::StalledInAnswer
+            DiscoveryError::StalledInAnswer
         } else {
-            CallError::TimedOut
+            DiscoveryError::TimedOut
         }
     }
 }
 
-fn read(message: Message<StatusLine>) -> Result<Answer, CallError> {
+fn read(message: Message<StatusLine>) -> Result<Answer, DiscoveryError> {
     if message.line.status != 200 {
-        return Err(CallError::Status(message.line.status));
+        return Err(DiscoveryError::Status(message.line.status));
     }
-    let text = std::str::from_utf8(&message.body).map_err(|e| CallError::NotAList(e.to_string()))?;
-    let list = List::read(text).map_err(CallError::NotAList)?;
+    let text = std::str::from_utf8(&message.body).map_err(|e| DiscoveryError::NotAList(e.to_string()))?;
+    let list = List::read(text).map_err(DiscoveryError::NotAList)?;
     Ok(Answer { list, keep_alive: message.keep_alive })
 }
 
--- a/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -23,10 +23,10 @@
     let answer = |status: u16, body: &[u8]| connection().receive(&http::response(status, &[], body, true));
     let body = json!({"version": 7, "full": false, "servers": []}).to_string();
     assert!(answer(200, body.as_bytes()).unwrap().is_ok_and(|a| a.list.version == Some(7) && a.keep_alive));
-    assert_eq!(answer(503, b"").unwrap().err(), Some(CallError::Status(503)));
+    assert_eq!(answer(503, b"").unwrap().err(), Some(DiscoveryError::Status(503)));
     assert!(answer(200, b"{").unwrap().is_err());
     assert!(connection().receive(b"HTTP/1.1 200 OK\r\nContent-Le").is_none());
-    assert_eq!(connection().end().err(), Some(CallError::Ended));
+    assert_eq!(connection().end().err(), Some(DiscoveryError::Ended));
 }
 
 /// What discovery has written counts as told, whether it arrives or not; a refusal tells nothing.
@@ -36,7 +36,7 @@
         let mut connection = connection();
         assert!(connection.receive(bytes).is_none());
         let stalled = connection.timed_out();
-        (connection.end().unwrap_err().hides_a_list(), stalled.hides_a_list())
+        (connection.end().unwrap_err().hides_list(), stalled.hides_list())
     };
     assert_eq!(ends_after(b""), (false, false));
     assert_eq!(ends_after(b"HTTP"), (false, false));
@@ -47,7 +47,7 @@
     assert_eq!(ends_after(b"HTTP/1.1 503 No\r\nContent-Length: 10\r\n\r\n{"), (false, false));
     let mut small = Connection::new(100);
     let long = small.receive(&http::response(200, &[], &[b' '; 101], true)).unwrap().unwrap_err();
-    assert!(long == CallError::TooLong(100) && long.hides_a_list());
+    assert!(long == DiscoveryError::TooLong(100) && long.hides_list());
 }
 
 #[test]
--- a/node/src/listener.rs
+++ b/crates/node/src/downstream.rs
@@ -24,7 +24,7 @@
     Last,
 }
 
-/// A connection that a client or a target opened.
+/// A connection that a client or a worker opened.
 pub struct Connection {
     decoder: Decoder<RequestLine>,
     /// Answers on their way.
@@ -32,7 +32,7 @@
     state: State,
     /// The client of the request at hand closes after it.
     last: bool,
-    told_to_go_on: bool,
+    continue_sent: bool,
     has_served: bool,
     /// Its sending side is shut.
     pub shut: bool,
@@ -41,8 +41,8 @@
     begun: Millis,
     /// When something last came or went, but for what comes after the last answer.
     pub used: Millis,
-    /// It has brought news, so it belongs to a target.
-    pub brings_news: bool,
+    /// It has brought news, so it belongs to a worker.
+    pub brings_job_status: bool,
 }
 
 impl Connection {
@@ -53,13 +53,13 @@
             outbox: Outbox::default(),
             state: State::Open,
             last: false,
-            told_to_go_on: false,
+            continue_sent: false,
             has_served: false,
             shut: false,
             opened: now,
             begun: now,
             used: now,
-            brings_news: false,
+            brings_job_status: false,
         }
     }
 
@@ -118,13 +118,13 @@
             return None;
         }
         let next = self.decoder.next().transpose();
-        if self.decoder.expects_continue() && !self.told_to_go_on {
+        if self.decoder.expects_continue() && !self.continue_sent {
             self.outbox.put(b"HTTP/1.1 100 Continue\r\n\r\n");
-            self.told_to_go_on = true;
+            self.continue_sent = true;
         }
         if let Some(next) = &next {
             self.state = State::Busy;
-            self.told_to_go_on = false;
+            self.continue_sent = false;
             self.last = next.as_ref().map_or(true, |m| !m.keep_alive);
         }
         next
