--- /dev/null
+++ b/crates/node/src/golden_tests.rs
@@ -0,0 +1,205 @@
+//! Golden files: the bytes that this program writes to others stay as the fixtures have them, and what an older
+//! version wrote is still read. `UPDATE_GOLDEN=1` writes the fixtures anew, for a deliberate change of a format.
+
+use crate::admin::AdminRequest;
+use crate::answer::{Answer, Failure};
+use crate::config::tests::config;
+use crate::discovery;
+use crate::intake::tests::job_of;
+use crate::membership::{json, MembersGauges, StateExchange};
+use crate::metrics::{DeferralGauges, FinalStatus, Gauges, Metrics};
+use crate::upgrade_protocol::{
+    JobEnd, LearnedSnapshot, Link, Message, MigratedAttempt, MigratedConnection, MigratedDeferral,
+    MigratedJob, SchedulerState,
+};
+use postusher_decision::{ClassEstimates, LearnedState, WorkerHistory, WorkerId};
+use postusher_deferred_jobs::JobEndStatus;
+use postusher_membership::{Config, Members};
+use std::path::PathBuf;
+
+/// Compares bytes with a fixture.
+fn check(name: &str, actual: &[u8]) {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    if std::env::var_os("UPDATE_GOLDEN").is_some() {
+        std::fs::write(&path, actual).unwrap();
+    }
+    let expected = std::fs::read(&path).unwrap();
+    assert_eq!(String::from_utf8_lossy(actual), String::from_utf8_lossy(&expected), "{name}");
+    assert_eq!(actual, expected, "{name}");
+}
+
+fn learned() -> LearnedSnapshot {
+    let health = WorkerHistory {
+        max_free_slots: 5,
+        foreign_slots: 0.5,
+        report_age: Some(9),
+        health_score: 1.5,
+        ejected_for: 7,
+        consecutive_ejections: 2,
+    };
+    let memory = LearnedState {
+        fleet_means: vec![Some(1.5), None],
+        queueing_delay: 2.5,
+        recent_scores: vec![0.5, -0.5],
+        classes: vec![ClassEstimates { log_duration: Some(0.1), mean_duration: None, rejection_rate: 0.2 }],
+        kinds: vec![(1, Some(0.3)), (2, None)],
+        quota_balances: vec![1.5, -2.0],
+        workers: vec![(WorkerId(7), health), (WorkerId(8), WorkerHistory::default())],
+    };
+    LearnedSnapshot::new(memory, |id| Some(format!("s-{}", id.0)))
+}
+
+fn upgrade_messages() -> Vec<Message> {
+    let ended = |id: &str, status| JobEnd { trace_id: id.into(), status };
+    let attempt = |worker: &str, pending, may_have_run| MigratedAttempt {
+        worker: worker.into(),
+        age: 7.25,
+        pending,
+        may_have_run,
+    };
+    let wait = MigratedDeferral {
+        dependencies: vec![("t8".into(), true), ("t9".into(), false)],
+        start_in: Some(2.5),
+        ready_for: None,
+        grace_left: 1.5,
+    };
+    let job = |attempts, deferral| MigratedJob {
+        request: vec![0, 255, b'\n'],
+        closes_connection: true,
+        attempts,
+        deferral,
+    };
+    let moved = |job| Message::ConnectionMigrated(MigratedConnection { age: 1.5, has_served: true, job });
+    vec![
+        Message::State(SchedulerState {
+            disabled_workers: vec!["s-1".into()],
+            draining: true,
+            open_jobs: vec!["9b".into()],
+            ended_jobs: vec![ended("t0", JobEndStatus::Disconnected), ended("t1", JobEndStatus::Rejected)],
+            settings_digest: Some(u64::MAX),
+        }),
+        Message::State(SchedulerState::default()),
+        Message::Ready,
+        Message::AdminRequest(AdminRequest::Healthcheck),
+        Message::AdminRequest(AdminRequest::Stats),
+        Message::AdminRequest(AdminRequest::Members),
+        Message::AdminRequest(AdminRequest::DisableWorker("s-2".into())),
+        Message::AdminRequest(AdminRequest::EnableWorker("s-2".into())),
+        Message::AdminRequest(AdminRequest::Drain),
+        Message::AdminRequest(AdminRequest::EndDrain),
+        Message::JobStatus("{\"id\":\"9b\"}\n".into()),
+        Message::JobStarted("t1".into()),
+        Message::JobIdReleased("t1".into()),
+        Message::JobEnded(ended("t9", JobEndStatus::Served)),
+        Message::JobEnded(ended("t9", JobEndStatus::Failed)),
+        Message::Learned(learned()),
+        moved(None),
+        moved(Some(job(vec![attempt("s-1", true, true), attempt("s-2", false, false)], None))),
+        moved(Some(job(Vec::new(), Some(wait)))),
+    ]
+}
+
+#[test]
+fn messages_between_the_processes_of_an_upgrade_keep_their_bytes() {
+    let messages = upgrade_messages();
+    let mut from = Link::default();
+    messages.iter().for_each(|message| from.send(message));
+    check("upgrade-messages.jsonl", from.outbox.unsent());
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/upgrade-messages.jsonl");
+    assert_eq!(Link::default().receive(&std::fs::read(path).unwrap()), messages);
+}
+
+#[test]
+fn messages_of_versions_before_some_fields_are_read() {
+    let older = concat!(
+        r#"{"state":{"taken_out":[],"drained":false,"open":["a"]}}"#,
+        "\n",
+        r#"{"moved":{"age":1.0,"has_served":false,"job":{"request":[1],"last":false,"legs":[]}}}"#,
+        "\n",
+        r#"{"learned":{"fleet":[],"lay":1.0,"recent":[],"classes":[],"kinds":[],"targets":[]}}"#,
+        "\n",
+    );
+    assert_eq!(Link::default().receive(older.as_bytes()).len(), 3);
+}
+
+#[test]
+fn calls_to_discovery_keep_their_bytes() {
+    let host = ([10, 2, 0, 1], 8500).into();
+    let calls = [
+        discovery::Call { after: None, wait: 0.0 },
+        discovery::Call { after: Some(41), wait: 0.0 },
+        discovery::Call { after: Some(41), wait: 4_000.0 },
+    ];
+    let bytes: Vec<u8> = calls.iter().flat_map(|call| call.bytes(host)).collect();
+    check("discovery-calls.txt", &bytes);
+}
+
+#[test]
+fn final_answers_keep_their_bytes() {
+    let answers = [
+        Answer::Served(b"result".to_vec()),
+        Answer::Rejected { retry_after: 0.0 },
+        Answer::Rejected { retry_after: 1_234.5 },
+        Answer::Failed(Failure::DeadlineExceeded),
+        Answer::Failed(Failure::Unprocessable),
+        Answer::Failed(Failure::AttemptsFailed),
+        Answer::Failed(Failure::DependencyFailed),
+        Answer::Failed(Failure::DependencyCycle),
+        Answer::Failed(Failure::StartAfterDeadline),
+    ];
+    let both = answers.iter().flat_map(|answer| [answer.bytes(true), answer.bytes(false)]);
+    check(
+        "final-answers.txt",
+        &both.flat_map(|bytes| [bytes, b"\n---\n".to_vec()].concat()).collect::<Vec<_>>(),
+    );
+}
+
+#[test]
+fn the_request_that_a_worker_gets_keeps_its_bytes() {
+    let job = job_of(
+        "POST /fund/x?y=1 HTTP/1.1\r\nHost: o.svc\r\nX-Trace-Id: 9b1f\r\nX-Qos: fund\r\nX-Object: 7f3a9c21e0b4d655\r\n\
+         Idempotency-Key: k\r\nX-Expires-In: 480m\r\nX-Size-Hint: 2500\r\nX-Props: slots=4,memory=0.5\r\n\
+         X-Customer: zeta\r\nX-Second-Try: 1\r\nX-Start-In: 5m\r\nConnection: keep-alive, X-Hop, X-Trace-Id\r\nX-Hop: 1\r\n\
+         Accept: */*\r\nContent-Length: 2\r\n\r\nab",
+    );
+    check("worker-request.txt", &job.unwrap().payload.request(250.0));
+}
+
+fn gauges(view: &Members) -> MembersGauges {
+    MembersGauges::new(&view.view(), view.figures())
+}
+
+fn member() -> Members {
+    let config = Config::new("c", "a1", "lamia", "127.0.0.11:7946".parse().unwrap());
+    let mut member = Members::new(config, 1, 0.0);
+    member.wake(0.0, &mut Vec::new());
+    member
+}
+
+#[test]
+fn what_operators_get_keeps_its_bytes() {
+    let site = config().site;
+    let mut metrics = Metrics::new(&site.classes, &site.customers);
+    metrics.ended(0, 0, FinalStatus::Served);
+    metrics.ended(1, 1, FinalStatus::Rejected);
+    metrics.ended(1, 9, FinalStatus::Failed);
+    (metrics.attempts, metrics.reloads_ok, metrics.reloads_failed) = (5, 1, 2);
+    let member = member();
+    let all = Gauges {
+        in_flight: 3,
+        workers_known: 12,
+        workers_excluded: 1,
+        over_quota: vec![0, 7],
+        members: Some(gauges(&member)),
+        waiting: Some(DeferralGauges { held: 5, released: 7, longest_wait_ms: 250 }),
+    };
+    let shown = [metrics.json(Gauges::default()), metrics.json(all), json(&member.view())];
+    check("operators.jsonl", (shown.join("\n") + "\n").as_bytes());
+}
+
+#[test]
+fn the_frame_of_an_exchanged_state_keeps_its_bytes() {
+    let mut exchange = StateExchange::new(true);
+    exchange.give(b"state");
+    check("exchange-frame.bin", exchange.outbox.unsent());
+}
