--- a/crates/decision/src/rules/admission.rs
+++ b/crates/decision/src/rules/admission.rs
@@ -5,8 +5,8 @@
 const RETRY_RATIO: f64 = 0.2; // further attempts for each arrival: for one sick worker in five, no storm
 const PROBE_RATIO: f64 = 1.0; // probes for each arrival; three times as many are kept for later
 pub(crate) const AFFORD: f64 = 0.7; // part of a job's slack that waiting may use
-const BY_STARTS: f64 = 3.0; // part of that, as a divisor, where queues are known in the mean, or to scheduler_count
-const UNSEEN: f64 = 2.5; // the same by reports, for scheduler_count tenfold: they come late, and more seldom
+const BY_STARTS: f64 = 3.0; // part of that, as a divisor, where queues are known in the mean, or to peers
+const UNSEEN: f64 = 2.5; // the same by reports, for peers tenfold: they come late, and more seldom
 const SAVED: f64 = 3.0; // seconds of its share that a customer who asks for less keeps for later, and ...
 const OWED: f64 = 8.0; // ... that one who asks for more owes at most, for what was lent to it
 const FEW: f64 = 2.0; // or so many jobs, where a dispatcher sees fewer of a customer in that time
@@ -48,7 +48,8 @@
             return false;
         }
         let (id, after) = (job.id, job.deadline.saturating_sub(self.now));
-        let none = || Arc::new(Class::new(Idempotency::NotIdempotent, 1)); // what settings lack is handled with most care
+        // A class that the settings lack is handled with most care.
+        let none = || Arc::new(Class::new(Idempotency::NotIdempotent, 1));
         let class = self.classes.get(usize::from(job.class)).cloned().unwrap_or_else(none);
         self.asked.push(job.key, ASKED);
         let many = (KEEP_LOAD * self.asked.share(job.key, self.scouts) * self.round.len() as f64) as usize;
@@ -136,7 +137,7 @@
     }
 
     /// How a customer stands: 0 within its share, down to -1 where it owes all it can; refusals owe nothing.
-    /// Where even the middle one brings more than its part, this dispatcher has more than its scheduler_count.
+    /// Where even the middle one brings more than its part, this dispatcher has more than its peers.
     fn standing(&mut self, customer: u16) -> f64 {
         let part = self.usual_use().clamp(1.0, self.scheduler_count) / self.scheduler_count;
         let (all, n) = (&self.set.customers, usize::from(customer));
@@ -150,9 +151,9 @@
     }
 
     /// Where no job would start at once: the most slots to wait for that it can afford; below 0, so many must
-    /// be left free. Shares fit into the fleet, so what scheduler_count send unseen yields to who is in its share.
+    /// be left free. Shares fit into the fleet, so what peers send unseen yields to who is in its share.
     fn affords(&self, r: &Request, standing: f64) -> i64 {
-        // Starts tell of queues only in the mean; where nothing does, a few scheduler_count add as much unseen.
+        // Starts tell of queues only in the mean; where nothing does, a few peers add as much unseen.
         let blind = if self.hides { BY_STARTS } else { self.scheduler_count.min(BY_STARTS) };
         let unseen = if self.told { 1.0 + UNSEEN * self.scheduler_count.log10() } else { blind };
         let unseen = if self.set.customers.is_empty() { unseen } else { 1.0 };
--- a/crates/decision/src/rules/learning.rs
+++ b/crates/decision/src/rules/learning.rs
@@ -9,14 +9,14 @@
 const FAR_PROBES: f64 = 0.4; // of the probes drawn for other zones these are sent: most jobs stay near
 
 impl Dispatcher {
-    /// A load report: what we hold already plus what is free is what we may have; scheduler_count' work is in it.
+    /// A load report: what we hold already plus what is free is what we may have; peers' work is in it.
     pub(crate) fn report(&mut self, id: WorkerId, report: &[f64], chance: bool) {
         let Some(free) = self.set.report_value(ReportField::FreeSlots, report) else { return };
         let queue = self.set.report_value(ReportField::QueueLength, report);
         let queue = queue.unwrap_or(if free < 1.0 { self.hidden() } else { 0.0 });
         // A wide job at the head of the line keeps slots free that others wait for.
         let jobs = self.set.report_value(ReportField::Jobs, report).unwrap_or(0.0) * self.mean_k.or(1.0);
-        // A late report makes all scheduler_count turn to the same workers at once: only its mean is of use.
+        // A late report makes all peers turn to the same workers at once: only its mean is of use.
         let span = (self.scheduler_count * REPORT_SPAN as f64).min(2.0 * self.run.or(REPORT_SPAN as f64));
         let (now, tells) = (self.now, self.set.reports_start);
         let there = |l: &Attempt| if tells { l.started.is_some() } else { l.sent + REPORT_LAG <= now };
--- a/crates/decision/tests/mechanism.rs
+++ b/crates/decision/tests/mechanism.rs
@@ -60,7 +60,7 @@
 
 #[test]
 fn siblings_load_is_smoothed_not_believed_at_once() {
-    // Guards against: many scheduler_count that turn to the same worker upon one late report.
+    // Guards against: many peers that turn to the same worker upon one late report.
     let mut rig = Rig::new(Settings { scheduler_count: 8, ..settings() }, 1);
     rig.now += 100 * MS;
     rig.probed(1, AttemptResult::Success, &[0.0, 6.0]);
--- a/crates/decision/tests/scale.rs
+++ b/crates/decision/tests/scale.rs
@@ -299,7 +299,7 @@
 
 #[test]
 fn a_job_may_wait_however_many_siblings_there_are() {
-    // Guards against: a wait that is divided by 100 scheduler_count, so that wide jobs are refused at a fleet half full.
+    // Guards against: a wait that is divided by 100 peers, so that wide jobs are refused at a fleet half full.
     let blind = Settings { scheduler_count: 100, report_fields: vec![ReportField::FreeSlots], ..settings() };
     let mut rig = Rig { dispatcher: Dispatcher::new(blind, 1, S), now: S, actions: Vec::new() };
     rig.members(ListUpdate::Cached, (1..=60).map(member).collect());
