--- /dev/null
+++ b/crates/decision/src/dispatcher.rs
@@ -0,0 +1,134 @@
+//! The dispatcher: what it owns, its start, and what a host may ask it. Its decisions are in `src/policy/`.
+
+use crate::estimators::{Budget, MedianWindow, QuotaBalance, RandomGenerator, TokenBucket};
+use crate::id_map::ById;
+use crate::interface::{Action, Class, Event, FreeCapacity, JobId, Micros, Settings, WorkerId};
+use crate::policy::{EndpointListState, PlacementOverride, MAX_SAVED_RETRIES};
+use crate::state::{
+    Affinity, DurationEstimates, Features, ForeignLoadEstimates, KeyQueues, PendingJob, QueueingEstimates,
+    SlotEstimates, WorkerTable,
+};
+use std::sync::Arc;
+
+/// One dispatcher: tokens, the health of the workers it knows, and the jobs it owes an answer.
+pub struct Dispatcher {
+    pub(crate) settings: Settings,
+    pub(crate) features: Features,
+    pub(crate) classes: Vec<Arc<Class>>,
+    /// Number of schedulers that use the same workers, at least 1.
+    pub(crate) scheduler_count: f64,
+    pub(crate) now: Micros,
+    pub(crate) random: RandomGenerator,
+    pub(crate) workers: WorkerTable,
+    pub(crate) tokens: TokenBucket,
+    pub(crate) endpoint_list: EndpointListState,
+    pub(crate) jobs: ById<JobId, PendingJob>,
+    pub(crate) placement_overrides: ById<JobId, PlacementOverride>,
+    pub(crate) key_queues: KeyQueues,
+    pub(crate) affinity: Affinity,
+    /// Quota balances by customer number.
+    pub(crate) quotas: Vec<QuotaBalance>,
+    pub(crate) retry_budget: Budget,
+    pub(crate) probe_budget: Budget,
+    pub(crate) durations: DurationEstimates,
+    pub(crate) slots: SlotEstimates,
+    pub(crate) queueing: QueueingEstimates,
+    pub(crate) foreign_load: ForeignLoadEstimates,
+    /// Health scores of the latest outcomes of all workers.
+    pub(crate) recent_scores: MedianWindow,
+}
+
+impl Dispatcher {
+    /// A dispatcher that knows nothing yet; it asks for what it needs at the first event.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+        Dispatcher {
+            features: Features::new(&settings),
+            classes: settings.classes.iter().cloned().map(Arc::new).collect(),
+            scheduler_count: f64::from(settings.scheduler_count.max(1)),
+            now,
+            random: RandomGenerator::new(seed),
+            workers: WorkerTable::default(),
+            tokens: TokenBucket::default(),
+            endpoint_list: EndpointListState::default(),
+            jobs: ById::default(),
+            placement_overrides: ById::default(),
+            key_queues: KeyQueues::default(),
+            affinity: Affinity::default(),
+            quotas: vec![QuotaBalance::default(); settings.customers.len()],
+            retry_budget: Budget::new(MAX_SAVED_RETRIES),
+            probe_budget: Budget::default(),
+            durations: DurationEstimates::new(settings.classes.len()),
+            slots: SlotEstimates::default(),
+            queueing: QueueingEstimates::default(),
+            foreign_load: ForeignLoadEstimates::default(),
+            recent_scores: MedianWindow::default(),
+            settings,
+        }
+    }
+
+    /// Has jobs wait until the list that comes first, cached by an earlier process, is confirmed.
+    pub fn with_unconfirmed_list(mut self) -> Self {
+        self.endpoint_list = EndpointListState::unconfirmed(self.now);
+        self
+    }
+
+    /// Handles events that the host has gathered at time `now`, in order, and appends what is to be done.
+    pub fn handle_all(
+        &mut self,
+        events: impl IntoIterator<Item = Event>,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        for event in events {
+            self.handle(event, now, actions);
+        }
+    }
+
+    /// Whether jobs may be placed by the endpoint list held at time `now`.
+    pub fn is_list_current(&self, now: Micros) -> bool {
+        self.endpoint_list.is_current(now)
+    }
+
+    /// By customer number: jobs sent over its quota that it will never pay back, beyond its present debt.
+    /// Jobs of customers that the settings lack are not counted.
+    pub fn over_quota(&self) -> impl Iterator<Item = u64> + '_ {
+        self.quotas.iter().map(|quota| quota.forgiven_debt() as u64)
+    }
+
+    /// Number of workers that are remembered.
+    pub fn known_workers(&self) -> usize {
+        self.workers.len()
+    }
+
+    /// Whether a worker is ejected.
+    pub fn is_ejected(&self, worker: WorkerId) -> bool {
+        self.workers.get(worker).is_some_and(|worker| worker.health.is_ejected())
+    }
+
+    /// Whether a worker gets no new jobs although the endpoint list lets it: it is disabled or ejected.
+    pub fn avoids(&self, worker: WorkerId) -> bool {
+        self.workers.is_disabled(worker) || self.is_ejected(worker)
+    }
+
+    /// What the fleet has room for now. Costs time in proportion to the number of workers.
+    pub fn free_capacity(&self) -> FreeCapacity {
+        let mut capacity = FreeCapacity::default();
+        for worker in self.workers.iter() {
+            if !self.workers.accepts_jobs(worker) || worker.health.is_ejected() {
+                continue;
+            }
+            let free_tokens = self.tokens.free(worker.endpoint.worker);
+            let free = self.free_slots(worker).clamp(0, free_tokens) as u32;
+            capacity.free += free;
+            capacity.total += free + worker.held_tokens.max(0) as u32;
+            capacity.largest_free = capacity.largest_free.max(free);
+        }
+        capacity
+    }
+
+    /// Tokens of a worker, for dashboards and tests: those in the bucket and those held by attempts.
+    pub fn tokens(&self, worker: WorkerId) -> (usize, usize) {
+        let held = self.workers.get(worker).map_or(0, |worker| worker.held_tokens.max(0) as usize);
+        (self.tokens.free(worker).max(0) as usize, held)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/estimators/token_bucket.rs
@@ -0,0 +1,206 @@
+//! Free tokens in release order.
+
+use super::RandomGenerator;
+use crate::id_map::ById;
+use crate::interface::WorkerId;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Workers among which free tokens are looked up: jobs that may go to some workers only have an order of
+/// their own.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub enum TokenGroup {
+    /// Every worker.
+    All,
+    /// The workers of a zone (first) and a machine kind (second).
+    ZoneAndKind(u16, u16),
+    /// The workers of a cell.
+    Cell(u16),
+}
+
+/// A worker's free tokens, the longest-free first, as numbers that rise with each release.
+#[derive(Default)]
+struct WorkerTokens {
+    released: VecDeque<u64>,
+    groups: Vec<TokenGroup>,
+}
+
+/// Per group, the longest-free token of each worker.
+type ReleaseOrder = BTreeMap<TokenGroup, BTreeSet<(u64, WorkerId)>>;
+
+/// All free tokens in release order. The cost of a call does not depend on the number of workers, except
+/// where noted.
+#[derive(Default)]
+pub struct TokenBucket {
+    workers: ById<WorkerId, WorkerTokens>,
+    order: ReleaseOrder,
+    next_release: u64,
+}
+
+impl TokenBucket {
+    /// The first `count` workers of a group with free tokens, by their longest-free one.
+    pub fn first_in_group(&self, group: TokenGroup, count: usize) -> Vec<WorkerId> {
+        match self.order.get(&group) {
+            Some(tokens) => tokens.iter().take(count).map(|(_, worker)| *worker).collect(),
+            None => Vec::new(),
+        }
+    }
+
+    /// The first `count` workers with free tokens of the zones and machine kinds that `allows` accepts.
+    pub fn first_allowed(&self, allows: impl Fn(u16, u16) -> bool, count: usize) -> Vec<WorkerId> {
+        let first = TokenGroup::ZoneAndKind(0, 0);
+        let last = TokenGroup::ZoneAndKind(u16::MAX, u16::MAX);
+        let mut tokens = Vec::new();
+        for (group, in_group) in self.order.range(first..=last) {
+            if matches!(group, TokenGroup::ZoneAndKind(zone, kind) if allows(*zone, *kind)) {
+                tokens.extend(in_group.iter().take(count));
+            }
+        }
+        tokens.sort_unstable();
+        tokens.into_iter().take(count).map(|(_, worker)| worker).collect()
+    }
+
+    /// The release number of a worker's longest-free token; `None` if it has fewer than `tokens` free ones.
+    pub fn longest_free(&self, worker: WorkerId, tokens: i64) -> Option<u64> {
+        let released = &self.workers.get(&worker)?.released;
+        if (released.len() as i64) < tokens {
+            return None;
+        }
+        released.front().copied()
+    }
+
+    /// Number of free tokens of a worker.
+    pub fn free(&self, worker: WorkerId) -> i64 {
+        self.workers.get(&worker).map_or(0, |tokens| tokens.released.len() as i64)
+    }
+
+    /// Sets the groups of a worker.
+    pub fn set_groups(&mut self, worker: WorkerId, groups: Vec<TokenGroup>) {
+        let tokens = self.workers.entry(worker).or_default();
+        let first = tokens.released.front().copied();
+        let old_groups = std::mem::replace(&mut tokens.groups, groups);
+        if first.is_some() {
+            Self::reorder(&mut self.order, &old_groups, worker, first, None);
+            Self::reorder(&mut self.order, &tokens.groups, worker, None, first);
+        }
+    }
+
+    /// Removes a worker and its free tokens.
+    pub fn remove(&mut self, worker: WorkerId) {
+        self.shrink(worker, i64::MAX);
+        self.workers.remove(&worker);
+    }
+
+    /// Replaces a worker's longest-free token in the order of its groups.
+    fn reorder(
+        order: &mut ReleaseOrder,
+        groups: &[TokenGroup],
+        worker: WorkerId,
+        old: Option<u64>,
+        new: Option<u64>,
+    ) {
+        for group in groups {
+            let tokens = order.entry(*group).or_default();
+            if let Some(old) = old {
+                tokens.remove(&(old, worker));
+            }
+            if let Some(new) = new {
+                tokens.insert((new, worker));
+            }
+            if tokens.is_empty() {
+                order.remove(group);
+            }
+        }
+    }
+
+    /// Adds free tokens of a worker at the end of the order.
+    pub fn release(&mut self, worker: WorkerId, count: i64) {
+        if count <= 0 {
+            return;
+        }
+        let Some(tokens) = self.workers.get_mut(&worker) else { return };
+        if tokens.released.is_empty() {
+            Self::reorder(&mut self.order, &tokens.groups, worker, None, Some(self.next_release));
+        }
+        let end = self.next_release + count as u64;
+        tokens.released.extend(self.next_release..end);
+        self.next_release = end;
+    }
+
+    /// Takes the longest-free tokens of a worker, at most as many as it has.
+    pub fn acquire(&mut self, worker: WorkerId, count: i64) {
+        let Some(tokens) = self.workers.get_mut(&worker) else { return };
+        let count = count.clamp(0, tokens.released.len() as i64) as usize;
+        let first = tokens.released.drain(..count).next();
+        if first.is_some() {
+            let new_first = tokens.released.front().copied();
+            Self::reorder(&mut self.order, &tokens.groups, worker, first, new_first);
+        }
+    }
+
+    /// Removes the newest free tokens of a worker, at most as many as it has.
+    fn shrink(&mut self, worker: WorkerId, count: i64) {
+        if count <= 0 {
+            return;
+        }
+        let Some(tokens) = self.workers.get_mut(&worker) else { return };
+        let left = (tokens.released.len() as i64 - count).max(0);
+        let first = tokens.released.front().copied();
+        tokens.released.truncate(left as usize);
+        if left == 0 && first.is_some() {
+            Self::reorder(&mut self.order, &tokens.groups, worker, first, None);
+        }
+    }
+
+    /// Removes all free tokens of a worker.
+    pub fn clear(&mut self, worker: WorkerId) {
+        self.shrink(worker, i64::MAX);
+    }
+
+    /// Sets a worker's number of free tokens: the newest ones go, new ones are added at the end.
+    pub fn resize(&mut self, worker: WorkerId, count: i64) {
+        let added = count - self.free(worker);
+        self.shrink(worker, -added);
+        self.release(worker, added);
+    }
+
+    /// Sets a worker's number of free tokens: the newest ones go, new ones are added at random places of the
+    /// order, so that not all schedulers turn to the same worker at once.
+    pub fn resize_at_random(&mut self, worker: WorkerId, count: i64, random: &mut RandomGenerator) {
+        let added = count - self.free(worker);
+        self.shrink(worker, -added);
+        if added <= 0 {
+            return;
+        }
+        let Some(tokens) = self.workers.get_mut(&worker) else { return };
+        let longest_free = self.order.get(&TokenGroup::All).and_then(|tokens| tokens.first());
+        let oldest = longest_free.map_or(self.next_release, |(released, _)| *released);
+        let old_first = tokens.released.front().copied();
+        for _ in 0..added {
+            let place = random.next_below((self.next_release - oldest) as usize + 1);
+            tokens.released.push_back(oldest + place as u64);
+        }
+        tokens.released.make_contiguous().sort_unstable();
+        let new_first = tokens.released.front().copied();
+        Self::reorder(&mut self.order, &tokens.groups, worker, old_first, new_first);
+        self.next_release += 1;
+    }
+
+    /// Puts all free tokens in a random order. Costs time in proportion to their number.
+    pub fn shuffle(&mut self, random: &mut RandomGenerator) {
+        let mut all: Vec<WorkerId> = Vec::new();
+        for (worker, tokens) in &self.workers {
+            all.extend(tokens.released.iter().map(|_| *worker));
+        }
+        all.sort_unstable();
+        for index in (1..all.len()).rev() {
+            all.swap(index, random.next_below(index + 1));
+        }
+        self.order.clear();
+        for tokens in self.workers.values_mut() {
+            tokens.released.clear();
+        }
+        for worker in all {
+            self.release(worker, 1);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/capacity.rs
@@ -0,0 +1,119 @@
+//! How many tokens a worker has, and how many of its slots are free for this scheduler.
+
+use super::load_reports::FOREIGN_LOAD_SPAN_US;
+use super::TICK_US;
+use crate::interface::WorkerId;
+use crate::state::{PendingJob, Worker};
+use crate::Dispatcher;
+
+/// Tokens of a worker of which nothing is known: the largest number of slots that jobs usually need.
+pub(super) const DEFAULT_TOKENS: i64 = 8;
+/// Tokens per slot: as many jobs may wait as run.
+const TOKENS_PER_SLOT: f64 = 2.0;
+/// A load report counts as fresh for this part of the mean running time.
+const FRESH_REPORT_SHARE: f64 = 0.5;
+/// A load report loses its worth over this many mean running times.
+pub(super) const REPORT_LIFETIME_RUNS: f64 = 4.0;
+
+impl Dispatcher {
+    /// The number of tokens of a worker, held ones included.
+    fn token_count(&self, worker: &Worker) -> i64 {
+        if !self.workers.accepts_jobs(worker) || worker.health.is_ejected() {
+            return 0;
+        }
+        if self.is_in_slow_start(worker) || worker.health.is_half_open() {
+            let one_job = if worker.held_tokens == 0 { self.slots.largest_job } else { 0 };
+            return self.own_slots(worker).max(one_job);
+        }
+        if self.slots.mean_per_worker.value().is_none() {
+            return DEFAULT_TOKENS + self.slots.largest_job;
+        }
+        let tokens = (TOKENS_PER_SLOT * self.slots.slot_count(worker) as f64 * self.speed(worker)).round();
+        tokens.max(self.slots.largest_job as f64) as i64
+    }
+
+    /// Slots of a worker that other schedulers leave to this one.
+    fn own_slots(&self, worker: &Worker) -> i64 {
+        let slot_count = self.slots.slot_count(worker);
+        let share = self.slow_start_share(worker);
+        if share < 1.0 {
+            return (slot_count as f64 * share) as i64;
+        }
+        let foreign_slots = (self.foreign_slots(worker) + 0.5) as i64;
+        match self.slots.mean_per_worker.value() {
+            Some(_) => slot_count - foreign_slots,
+            None => DEFAULT_TOKENS - foreign_slots,
+        }
+    }
+
+    /// Slots of a worker that other schedulers use: by its latest report and, as that ages, by its mean, then
+    /// by what is typical for its place.
+    fn foreign_slots(&self, worker: &Worker) -> f64 {
+        let age = worker.load.reported_at.map_or(f64::MAX, |reported_at| (self.now - reported_at) as f64);
+        let typical = self.foreign_load.typical(&worker.endpoint) + self.estimated_queue_length();
+        let own_mean = worker.load.mean_foreign_slots.value_or(typical);
+        let mean = typical + (own_mean - typical) * (-age / FOREIGN_LOAD_SPAN_US).exp();
+        let lifetime = REPORT_LIFETIME_RUNS * self.durations.fleet.value_or(1.0);
+        mean + (worker.load.foreign_slots - mean) * (1.0 - age / lifetime).max(0.0).powi(4)
+    }
+
+    /// Slots at which a job would start at once; negative if some jobs wait already.
+    pub(crate) fn free_slots(&self, worker: &Worker) -> i64 {
+        let may_queue = !self.is_in_slow_start(worker) && !worker.health.is_half_open();
+        let slots = if may_queue { self.own_slots(worker) } else { self.token_count(worker) };
+        slots - worker.held_tokens
+    }
+
+    /// Mean number of jobs that wait at a worker, where reports do not tell: from the queueing delay
+    /// (Little's law).
+    pub(super) fn estimated_queue_length(&self) -> f64 {
+        if !self.features.infers_queue_from_starts {
+            return 0.0;
+        }
+        let delay = self.queueing.delay_us;
+        delay * self.slots.mean_per_worker.value_or(1.0) / self.durations.fleet.value_or(delay.max(1.0))
+    }
+
+    /// Whether a worker reported so lately that most of what ran there still does.
+    pub(super) fn has_fresh_report(&self, worker: &Worker) -> bool {
+        let limit = self.durations.fleet.value_or(TICK_US as f64) * FRESH_REPORT_SHARE;
+        worker.load.reported_at.is_some_and(|reported_at| (self.now - reported_at) as f64 <= limit)
+    }
+
+    /// How fast a worker's machine kind runs, relative to the usual one: tokens are given out in this
+    /// proportion.
+    pub(super) fn speed(&self, worker: &Worker) -> f64 {
+        self.durations.speed(worker.endpoint.kind)
+    }
+
+    /// The time for which a job can wait and still meet its latency objective, in microseconds, by its
+    /// expected running time at this relative speed.
+    pub(super) fn latency_slack(&self, job: &PendingJob, speed: f64) -> f64 {
+        job.class.latency_objective as f64
+            + (job.class.objective_stretch - 1.0 / speed).max(0.0) * self.durations.expected(job)
+    }
+
+    /// Brings a worker's free tokens and slow-start budget up to date, and forgets it once it is removed and
+    /// idle, or years of rolling deploys would fill the memory.
+    pub(super) fn update_tokens(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get(id) else { return };
+        let free_tokens = (self.token_count(worker) - worker.held_tokens).max(0);
+        let slow_start = self.slow_start_budget(worker);
+        let ejected = self.workers.accepts_jobs(worker) && worker.health.is_ejected();
+        let changes_with_time = worker.held_tokens > 0 || ejected;
+        let is_forgettable = worker.is_forgettable();
+        if worker.health.is_half_open() {
+            self.tokens.resize(id, free_tokens);
+        } else {
+            self.tokens.resize_at_random(id, free_tokens, &mut self.random);
+        }
+        if let Some(worker) = self.workers.get_mut(id) {
+            worker.slow_start = slow_start;
+        }
+        self.workers.set_watched(id, changes_with_time);
+        if is_forgettable {
+            self.workers.remove(id);
+            self.tokens.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/mod.rs
@@ -0,0 +1,87 @@
+//! Every decision of a dispatcher, one concern per file. The ordinary path is Comte's: free tokens lie in one
+//! bucket in release order; a job takes the longest-free ones that fit it best, or is rejected at once.
+
+mod admission;
+mod attempts;
+mod capacity;
+mod circuit_breaker;
+mod endpoint_list;
+mod fleet;
+mod handover;
+mod load_probes;
+mod load_reports;
+mod outcomes;
+mod outlier_detection;
+mod permission;
+mod placement;
+mod quotas;
+mod slow_start;
+
+pub use admission::MAX_SAVED_RETRIES;
+pub use endpoint_list::EndpointListState;
+pub use placement::PlacementOverride;
+
+use crate::interface::{Action, Event, Micros};
+use crate::state::TimerPurpose;
+use crate::Dispatcher;
+
+/// Interval between two ticks, shorter than the shortest latency objective.
+const TICK_US: Micros = 100_000;
+
+impl Dispatcher {
+    /// Handles one event at time `now` and appends what is to be done.
+    pub fn handle(&mut self, event: Event, now: Micros, actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        match event {
+            Event::EndpointList { update, endpoints } => {
+                self.update_endpoint_list(update, endpoints, actions)
+            }
+            Event::DiscoveryMoved => self.discovery_moved(actions),
+            Event::WorkerDisabled(worker) => self.disable_worker(worker),
+            Event::WorkerEnabled(worker) => self.enable_worker(worker),
+            Event::PlacementOverride { job, worker, required } => {
+                self.placement_overrides.insert(job, PlacementOverride { worker, required });
+            }
+            Event::JobArrived(job) => self.admit(job, actions),
+            Event::JobAdopted { job, attempts } => self.adopt(job, &attempts, actions),
+            Event::Learned(learned) => self.restore_learned_state(&learned),
+            Event::JobStarted { job, attempt } | Event::JobProgressed { job, attempt, .. } => {
+                self.attempt_progressed(job, attempt, actions)
+            }
+            Event::AnswerStreaming { job, .. } => {
+                if let Some(job) = self.jobs.get_mut(&job) {
+                    job.streaming = true;
+                }
+            }
+            Event::AttemptEnded(outcome) => self.attempt_ended(&outcome, actions),
+            Event::ClientDisconnected(job) => self.close(job, actions),
+            Event::HealthCheckEnded { worker, result, report } => {
+                self.health_check_ended(worker, result, &report, actions)
+            }
+            Event::TimerExpired(timer) => self.timer_expired(timer, actions),
+        }
+        self.place_next_of_changed_keys(actions);
+    }
+
+    fn timer_expired(&mut self, timer: u64, actions: &mut Vec<Action>) {
+        match TimerPurpose::decode(timer) {
+            Some(TimerPurpose::Tick) => self.tick(actions),
+            Some(TimerPurpose::Deadline(job)) => self.deadline_reached(job, actions),
+            Some(TimerPurpose::StartOverdue(job)) => self.start_overdue(job, actions),
+            Some(TimerPurpose::RequestList) => actions.push(Action::WatchEndpoints),
+            Some(TimerPurpose::KeyPauseOver(job)) => self.close(job, actions),
+            Some(TimerPurpose::LoadProbesOver(job)) => self.load_probes_over(job, actions),
+            Some(TimerPurpose::ListWaitOver(job)) => self.list_wait_over(job, actions),
+            None => {}
+        }
+    }
+
+    fn tick(&mut self, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer { after: TICK_US, timer: TimerPurpose::Tick.into() });
+        self.queueing.decay();
+        self.update_foreign_load();
+        self.probe_next_workers(actions);
+        self.update_slow_starting_workers();
+        self.update_watched_workers();
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/outcomes.rs
@@ -0,0 +1,200 @@
+//! What follows from the end of an attempt.
+
+use super::outlier_detection::{FAILURE_SCORE, OUTLIER_SCORE};
+use crate::interface::{Action, AttemptOutcome, AttemptResult, JobId, Micros, ReportField, WorkerId};
+use crate::state::AttemptState;
+use crate::Dispatcher;
+
+/// With so many jobs per slot, the time that an attempt takes is mostly queueing.
+const CROWDED_JOBS_PER_SLOT: f64 = 1.4;
+/// The best score that an outcome can have: a running time of 1/e of the expected one.
+const MIN_SUCCESS_SCORE: f64 = -1.0;
+/// Workers that must reject a job as unprocessable before the job is taken to be at fault.
+const UNPROCESSABLE_VOTES: usize = 2;
+
+/// An attempt that has ended, as the job and the worker showed it before anything was learned from it.
+struct EndedAttempt {
+    worker: WorkerId,
+    /// Tokens that it held.
+    slots: i64,
+    /// From its start, or else from its sending, to its end.
+    running_time: Micros,
+    /// Queueing is no part of that time.
+    running_time_is_pure: bool,
+    /// The job has its final answer.
+    answered: bool,
+    /// Another attempt of the job is pending.
+    others_pending: bool,
+}
+
+impl Dispatcher {
+    /// An attempt has ended.
+    pub(super) fn attempt_ended(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) {
+        let Some(ended) = self.record_end(outcome, actions) else { return };
+        self.record_attempt_report(ended.worker, &outcome.report);
+        let Some(job) = self.jobs.get(&outcome.job) else { return };
+        let class = job.job.class;
+        let hint = job.job.size_hint;
+        let score = (ended.running_time.max(1) as f64 / self.durations.expected(job)).ln();
+        let kind = self.workers.get(ended.worker).map_or(0, |worker| worker.endpoint.kind);
+        self.release_attempt(outcome, &ended);
+        if outcome.result == AttemptResult::Success && ended.running_time_is_pure {
+            self.durations.record(class, kind, hint, ended.running_time);
+        }
+        let reports_free_slots = self.rejected_despite_free_slots(outcome);
+        self.update_breaker(ended.worker, class, outcome.result, reports_free_slots);
+        if let Some(score) = score_of(outcome.result, score, reports_free_slots) {
+            self.record_score(ended.worker, score);
+        }
+        self.update_tokens(ended.worker);
+        let unprocessable_at = self.workers_finding_unprocessable(outcome.job);
+        if outcome.result == AttemptResult::Success {
+            for worker in &unprocessable_at {
+                self.record_score(*worker, FAILURE_SCORE); // another worker could run the job
+            }
+        }
+        self.continue_job(outcome, &ended, unprocessable_at.len(), actions);
+    }
+
+    /// Marks an attempt as ended; `None` if it is not pending.
+    fn record_end(&mut self, outcome: &AttemptOutcome, actions: &mut Vec<Action>) -> Option<EndedAttempt> {
+        let jobs_at_worker = self.settings.report_value(ReportField::Jobs, &outcome.report);
+        let job = self.jobs.get_mut(&outcome.job)?;
+        let pauses_key = job.ordered_key().is_some() && may_still_run(outcome.result);
+        let attempt = job.attempts.get_mut(outcome.attempt.index()).filter(|attempt| attempt.is_pending())?;
+        attempt.state = if self.settings.may_have_run(outcome.result) {
+            AttemptState::MayHaveRun
+        } else {
+            AttemptState::NeverRan
+        };
+        attempt.result = Some(outcome.result);
+        if outcome.result == AttemptResult::StaleConnection {
+            actions.push(Action::CloseIdleConnections { worker: attempt.worker });
+        }
+        if outcome.result == AttemptResult::Cancelled && attempt.started_at.is_none() {
+            self.queueing.record_wait(attempt.route, outcome.latency as f64);
+        }
+        let worker = self.workers.get(attempt.worker);
+        let is_crowded = jobs_at_worker
+            .zip(worker)
+            .is_some_and(|(jobs, worker)| jobs >= CROWDED_JOBS_PER_SLOT * worker.load.max_free_slots as f64);
+        let running_time = match attempt.started_at {
+            Some(started_at) if self.settings.reports_start => self.now - started_at,
+            _ => outcome.latency,
+        };
+        let running_time_is_pure = self.settings.reports_start || attempt.to_free_slots && !is_crowded;
+        let worker = attempt.worker;
+        if pauses_key {
+            job.key_pause_until = self.now + self.settings.key_order_pause;
+        }
+        Some(EndedAttempt {
+            worker,
+            slots: job.slots,
+            running_time,
+            running_time_is_pure,
+            answered: job.answered || outcome.job_answered,
+            others_pending: job.has_pending_attempt(),
+        })
+    }
+
+    /// Gives an attempt's tokens back and updates the idle connections to its worker.
+    fn release_attempt(&mut self, outcome: &AttemptOutcome, ended: &EndedAttempt) {
+        let Some(worker) = self.workers.get_mut(ended.worker) else { return };
+        worker.remove_attempt(outcome.job, outcome.attempt, ended.slots);
+        self.tokens.release(ended.worker, ended.slots);
+        match outcome.result {
+            AttemptResult::Success => worker.idle_connections.push(self.now),
+            AttemptResult::NotSent => {}
+            // The worker's process may be gone, and with it its connections.
+            AttemptResult::Error
+            | AttemptResult::Overloaded
+            | AttemptResult::TimedOut
+            | AttemptResult::ConnectFailed
+            | AttemptResult::Reset
+            | AttemptResult::Unprocessable
+            | AttemptResult::StaleConnection
+            | AttemptResult::Cancelled => worker.idle_connections.clear(),
+        }
+    }
+
+    /// Whether a worker rejected a job although it reports a free slot: that is about the class, not its
+    /// health.
+    fn rejected_despite_free_slots(&self, outcome: &AttemptOutcome) -> bool {
+        let free_slots = self.settings.report_value(ReportField::FreeSlots, &outcome.report);
+        outcome.result == AttemptResult::Overloaded && free_slots.is_some_and(|free| free >= 1.0)
+    }
+
+    /// The workers that rejected a job as one that cannot be run.
+    fn workers_finding_unprocessable(&self, id: JobId) -> Vec<WorkerId> {
+        let Some(job) = self.jobs.get(&id) else { return Vec::new() };
+        let unprocessable = job.attempts.iter().filter(|attempt| attempt.was_unprocessable());
+        unprocessable.map(|attempt| attempt.worker).collect()
+    }
+
+    /// Closes a job, retries it or turns it away after an attempt has ended. A job that two workers found to
+    /// be unprocessable is taken to be so.
+    fn continue_job(
+        &mut self,
+        outcome: &AttemptOutcome,
+        ended: &EndedAttempt,
+        unprocessable_votes: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = outcome.job;
+        if ended.answered {
+            return self.close(id, actions);
+        }
+        if unprocessable_votes >= UNPROCESSABLE_VOTES {
+            actions.push(Action::Fail { job: id });
+            return self.close(id, actions);
+        }
+        if ended.others_pending {
+            return;
+        }
+        let retry_is_free =
+            matches!(outcome.result, AttemptResult::StaleConnection | AttemptResult::Unprocessable);
+        if retry_is_free || self.retry_budget.try_spend() {
+            self.place(id, actions);
+        } else {
+            self.turn_away(id, actions);
+        }
+    }
+}
+
+/// Whether the work of an attempt that ended so may go on at its worker.
+fn may_still_run(result: AttemptResult) -> bool {
+    match result {
+        AttemptResult::TimedOut
+        | AttemptResult::Reset
+        | AttemptResult::Cancelled
+        | AttemptResult::StaleConnection => true,
+        AttemptResult::Success
+        | AttemptResult::Error
+        | AttemptResult::Overloaded
+        | AttemptResult::ConnectFailed
+        | AttemptResult::Unprocessable
+        | AttemptResult::NotSent => false,
+    }
+}
+
+/// The score that an outcome adds to its worker's health, where the running time alone scores `by_time`;
+/// `None` if it says nothing about the worker.
+fn score_of(result: AttemptResult, by_time: f64, rejected_despite_free_slots: bool) -> Option<f64> {
+    match result {
+        AttemptResult::Success => Some(by_time.clamp(MIN_SUCCESS_SCORE, FAILURE_SCORE)),
+        // A job with little time left must not speak against a healthy worker.
+        AttemptResult::Cancelled | AttemptResult::TimedOut if by_time > OUTLIER_SCORE => {
+            Some(by_time.min(FAILURE_SCORE))
+        }
+        AttemptResult::Cancelled
+        | AttemptResult::TimedOut
+        | AttemptResult::NotSent
+        | AttemptResult::StaleConnection
+        | AttemptResult::Unprocessable => None,
+        AttemptResult::Overloaded if rejected_despite_free_slots => None,
+        AttemptResult::Error
+        | AttemptResult::Overloaded
+        | AttemptResult::ConnectFailed
+        | AttemptResult::Reset => Some(FAILURE_SCORE),
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/outlier_detection.rs
@@ -0,0 +1,96 @@
+//! Outlier detection: workers that are slower or fail more often than the fleet are ejected for a while.
+
+use crate::estimators::FAST_WEIGHT;
+use crate::interface::{Micros, WorkerId};
+use crate::state::{Attempt, PendingJob};
+use crate::Dispatcher;
+
+/// Recent outcomes whose median score is the fleet's usual one.
+const RECENT_OUTCOMES: usize = 21;
+/// A worker whose score is this far above the fleet's median is an outlier: 2.5 times slower, as a logarithm.
+pub(super) const OUTLIER_SCORE: f64 = 0.92;
+/// The score of a failure: as bad as running 20 times slower, as a logarithm.
+pub(super) const FAILURE_SCORE: f64 = 3.0;
+/// At most one in so many workers is ejected or half-open: beyond that it is the fleet that is in trouble.
+const MAX_EJECTED_ONE_IN: usize = 3;
+/// The time for which a worker is ejected at first; each ejection without success in between doubles it.
+pub(super) const BASE_EJECTION_TIME_US: Micros = 500_000;
+/// Doublings of the ejection time, at most.
+pub(super) const MAX_EJECTION_DOUBLINGS: u32 = 4;
+
+impl Dispatcher {
+    /// Adds the score of an outcome to a worker's health: one estimate for slow, silent and failing workers
+    /// alike.
+    pub(super) fn record_score(&mut self, id: WorkerId, score: f64) {
+        self.recent_scores.push(score, RECENT_OUTCOMES);
+        let median = self.recent_scores.median();
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        let health = &mut worker.health;
+        health.record(score);
+        // A failure is no proof of health, even where the whole fleet fails.
+        let failed_half_open = health.is_half_open() && score >= FAILURE_SCORE;
+        let served_well = !health.is_ejected() && !failed_half_open && score - median <= OUTLIER_SCORE;
+        if served_well {
+            health.consecutive_ejections = 0;
+        }
+        if !health.is_ejected() && (failed_half_open || health.score - median > OUTLIER_SCORE) {
+            self.eject(id);
+        }
+    }
+
+    /// Ejects a worker, unless too many are ejected or half-open already.
+    fn eject(&mut self, id: WorkerId) {
+        let suspects = self.workers.watched().filter(|id| self.is_half_open(*id)).count();
+        let jitter = 0.75 + self.random.next_fraction() / 2.0;
+        let base = (BASE_EJECTION_TIME_US as f64 * jitter) as Micros;
+        let accepting = self.workers.accepting().len();
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        let fleet_allows = (suspects + 1) * MAX_EJECTED_ONE_IN <= accepting;
+        if !worker.health.is_half_open() && !fleet_allows {
+            return;
+        }
+        let doublings = worker.health.consecutive_ejections.min(MAX_EJECTION_DOUBLINGS);
+        worker.health.eject(self.now + (base << doublings));
+        self.update_tokens(id);
+    }
+
+    fn is_half_open(&self, id: WorkerId) -> bool {
+        self.workers.get(id).is_some_and(|worker| worker.health.is_half_open())
+    }
+
+    /// Ejects a worker whose pending attempts are overdue: they count as if they ended now.
+    pub(super) fn eject_if_overdue(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get(id) else { return };
+        if worker.health.is_ejected() {
+            return;
+        }
+        let mut score = worker.health.score;
+        for (job, attempt) in self.attempts_at(id) {
+            score += FAST_WEIGHT * (self.overdue_score(job, attempt) - score).max(0.0);
+        }
+        if score > OUTLIER_SCORE && score - self.recent_scores.median() > OUTLIER_SCORE {
+            self.eject(id);
+        }
+    }
+
+    /// The score of a pending attempt if it ended now.
+    fn overdue_score(&self, job: &PendingJob, attempt: &Attempt) -> f64 {
+        let interval = self.settings.progress_interval;
+        let progress_due = attempt.last_progress + 2 * interval;
+        if attempt.started_at.is_some() && interval > 0 && self.now > progress_due {
+            return FAILURE_SCORE;
+        }
+        let age = (self.now - attempt.sent_at).max(1) as f64;
+        (age / self.durations.expected(job)).ln().min(FAILURE_SCORE)
+    }
+
+    /// Makes a worker half-open once its ejection is over: it gets one job at first, and a failure ejects it
+    /// again, for longer.
+    pub(super) fn readmit_if_due(&mut self, id: WorkerId) {
+        let Some(worker) = self.workers.get_mut(id) else { return };
+        if worker.health.is_readmission_due(self.now) {
+            worker.health.readmit(self.recent_scores.median() + OUTLIER_SCORE / 2.0);
+            self.update_tokens(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/policy/slow_start.rs
@@ -0,0 +1,65 @@
+//! Slow start: a worker's capacity grows after its start, and all schedulers share what it can take until
+//! then.
+
+use crate::state::{PendingJob, SlowStartBudget, Worker};
+use crate::Dispatcher;
+
+/// Margin of the work that all schedulers send to a worker in slow start, in standard deviations of a random
+/// number of mean jobs.
+const OVERLOAD_MARGIN: f64 = 1.0;
+/// Part of an allowance below one mean job that may be saved up beyond that job.
+const SMALL_ALLOWANCE_SAVINGS: f64 = 0.25;
+
+impl Dispatcher {
+    /// The share of its capacity that a worker has at least, by the time since it started or was enabled; 1
+    /// after its slow start.
+    pub(super) fn slow_start_share(&self, worker: &Worker) -> f64 {
+        let since = worker.endpoint.started_at.max(worker.enabled_at);
+        let age = self.now.saturating_sub(since);
+        if since == 0 || age >= self.settings.slow_start_duration {
+            return 1.0;
+        }
+        self.settings.initial_capacity
+            + (1.0 - self.settings.initial_capacity) * age as f64 / self.settings.slow_start_duration as f64
+    }
+
+    /// Whether a worker is in slow start.
+    pub(super) fn is_in_slow_start(&self, worker: &Worker) -> bool {
+        self.slow_start_share(worker) < 1.0
+    }
+
+    /// The work in slot-microseconds that all schedulers together may send to a worker in one overload
+    /// window, so that it is unlikely to be overloaded by their random choices.
+    fn shared_allowance(&self, worker: &Worker) -> f64 {
+        let mean_job = self.durations.mean_running_time();
+        let capacity = self.slots.slot_count(worker) as f64 * self.speed(worker);
+        let limit = self.settings.overload_factor
+            * self.slow_start_share(worker)
+            * capacity
+            * self.settings.overload_window as f64;
+        mean_job * ((OVERLOAD_MARGIN * OVERLOAD_MARGIN + limit / mean_job).sqrt() - OVERLOAD_MARGIN).powi(2)
+    }
+
+    /// The slow-start budget of a worker at the present time. Each scheduler earns its part of the shared
+    /// allowance, from a random start. It may save the work of a mean job and some more; then savings lapse,
+    /// or all schedulers would save them up and spend them together.
+    pub(super) fn slow_start_budget(&self, worker: &Worker) -> SlowStartBudget {
+        let mean_job = self.durations.mean_running_time();
+        let allowance = self.shared_allowance(worker) / self.scheduler_count;
+        let elapsed = (self.now - worker.slow_start.updated_at) as f64;
+        let window = self.settings.overload_window.max(1) as f64;
+        let balance = worker.slow_start.balance + allowance * elapsed / window;
+        let savings = if allowance < mean_job { allowance * SMALL_ALLOWANCE_SAVINGS } else { allowance };
+        let maximum = mean_job + savings;
+        let after_lapse = (allowance - mean_job).max(0.0);
+        let lapse = maximum - after_lapse;
+        let lapses = ((balance - maximum) / lapse).ceil().max(0.0);
+        SlowStartBudget { balance: balance - lapses * lapse, updated_at: self.now }
+    }
+
+    /// Whether a worker in slow start can take a job at all, and its budget allows another one now.
+    pub(super) fn slow_start_allows(&self, job: &PendingJob, worker: &Worker) -> bool {
+        self.slow_start_budget(worker).balance >= self.durations.mean_running_time()
+            && self.durations.work(job) <= self.shared_allowance(worker)
+    }
+}
--- /dev/null
+++ b/crates/decision/src/state/durations.rs
@@ -0,0 +1,96 @@
+//! Estimates of running times.
+
+use super::PendingJob;
+use crate::estimators::{MovingAverage, SLOW_WEIGHT};
+use crate::interface::Micros;
+use std::collections::BTreeMap;
+
+/// The mean running time while none was observed, in microseconds.
+const DEFAULT_RUNNING_TIME_US: f64 = 400_000.0;
+/// Bounds of the relative speed of a machine kind.
+const SPEED_BOUNDS: (f64, f64) = (0.25, 4.0);
+
+/// What was observed of a class.
+#[derive(Clone, Copy, Default)]
+pub struct ClassEstimate {
+    /// Mean logarithm of the running time in microseconds, relative to the size hint where there is one.
+    pub log_duration: MovingAverage,
+    /// Mean running time in microseconds.
+    pub mean_duration: MovingAverage,
+    /// Share of attempts that were rejected for want of capacity, from 0 to 1.
+    pub rejection_rate: f64,
+}
+
+/// Running times by class and machine kind, and over the fleet.
+#[derive(Default)]
+pub struct DurationEstimates {
+    /// Mean running time over all classes in microseconds.
+    pub fleet: MovingAverage,
+    /// Estimates by class number.
+    pub classes: Vec<ClassEstimate>,
+    /// By machine kind: mean logarithm of the running time relative to the class's.
+    pub kinds: BTreeMap<u16, MovingAverage>,
+}
+
+impl DurationEstimates {
+    /// No estimates for this many classes.
+    pub fn new(classes: usize) -> Self {
+        DurationEstimates { classes: vec![ClassEstimate::default(); classes], ..DurationEstimates::default() }
+    }
+
+    /// Mean running time in microseconds, with a default while none was observed.
+    pub fn mean_running_time(&self) -> f64 {
+        self.fleet.value_or(DEFAULT_RUNNING_TIME_US)
+    }
+
+    /// The expected running time of a job on a standard worker in microseconds (the geometric mean).
+    pub fn expected(&self, job: &PendingJob) -> f64 {
+        let hint = job.job.size_hint.map(|hint| hint.max(1) as f64);
+        let class = self.classes.get(usize::from(job.job.class));
+        match class.and_then(|class| class.log_duration.value()) {
+            Some(log) => log.exp() * hint.unwrap_or(1.0),
+            None => hint.unwrap_or(job.class.latency_objective.max(1) as f64),
+        }
+    }
+
+    /// The work that a job brings to its worker, in slot-microseconds: by its size hint or else by its
+    /// class's mean.
+    pub fn work(&self, job: &PendingJob) -> f64 {
+        let class = self.classes.get(usize::from(job.job.class));
+        let duration = match class.and_then(|class| class.mean_duration.value()) {
+            Some(mean) if job.job.size_hint.is_none() => mean,
+            _ => self.expected(job),
+        };
+        duration.max(1.0) * job.slots as f64
+    }
+
+    /// How fast machines of a kind run, relative to the usual ones.
+    pub fn speed(&self, kind: u16) -> f64 {
+        let log_slowness = self.kinds.get(&kind).map_or(0.0, |kind| kind.value_or(0.0));
+        let (slowest, fastest) = SPEED_BOUNDS;
+        (-log_slowness).exp().clamp(slowest, fastest)
+    }
+
+    /// The share of a class's attempts that were rejected for want of capacity; `None` for an unknown class.
+    pub fn rejection_rate(&self, class: u16) -> Option<f64> {
+        self.classes.get(usize::from(class)).map(|class| class.rejection_rate)
+    }
+
+    /// Adds the running time of an attempt of a class with this size hint at a machine kind.
+    pub fn record(&mut self, class: u16, kind: u16, hint: Option<Micros>, running_time: Micros) {
+        self.fleet.add(running_time as f64, SLOW_WEIGHT);
+        let Some(class) = self.classes.get_mut(usize::from(class)) else { return };
+        let expected = hint.map_or(1.0, |hint| hint.max(1) as f64);
+        let log = (running_time.max(1) as f64 / expected).ln();
+        self.kinds.entry(kind).or_default().add(log - class.log_duration.value_or(log), SLOW_WEIGHT);
+        class.log_duration.add(log, SLOW_WEIGHT);
+        class.mean_duration.add(running_time as f64, SLOW_WEIGHT);
+    }
+
+    /// Counts an attempt of a class that was served, or rejected for want of capacity.
+    pub fn record_rejection(&mut self, class: u16, rejected: bool) {
+        if let Some(class) = self.classes.get_mut(usize::from(class)) {
+            class.rejection_rate += SLOW_WEIGHT * (f64::from(rejected) - class.rejection_rate);
+        }
+    }
+}
--- /dev/null
+++ b/crates/decision/src/state/slots.rs
@@ -0,0 +1,64 @@
+//! How many slots workers have and jobs need.
+
+use super::Worker;
+use crate::estimators::{MovingAverage, SLOW_WEIGHT};
+use std::collections::BTreeMap;
+
+/// Part by which a report above the largest one of its machine kind counts: reports are noisy.
+const LARGER_REPORT_WEIGHT: f64 = 0.3;
+
+/// Slots of workers, by load reports, and of jobs.
+pub struct SlotEstimates {
+    /// Mean slots of a worker, over all reports.
+    pub mean_per_worker: MovingAverage,
+    /// Mean slots of a job.
+    pub mean_per_job: MovingAverage,
+    /// Most slots that a job needed, at most the tokens of an unknown worker.
+    pub largest_job: i64,
+    /// By machine kind: most free slots reported, smoothed.
+    largest_free: BTreeMap<u16, f64>,
+}
+
+impl Default for SlotEstimates {
+    fn default() -> Self {
+        SlotEstimates {
+            mean_per_worker: MovingAverage::default(),
+            mean_per_job: MovingAverage::default(),
+            largest_job: 1,
+            largest_free: BTreeMap::new(),
+        }
+    }
+}
+
+impl SlotEstimates {
+    /// The slot count of a worker, as far as reports have shown it.
+    pub fn slot_count(&self, worker: &Worker) -> i64 {
+        let own = if worker.load.reported_at.is_some() {
+            worker.load.max_free_slots
+        } else {
+            self.mean_per_worker.value_or(0.0) as i64
+        };
+        let of_kind = self.largest_free.get(&worker.endpoint.kind).map_or(0, |free| free.round() as i64);
+        own.max(self.largest_job).max(of_kind)
+    }
+
+    /// Adds the slots that a job needs.
+    pub fn record_job(&mut self, slots: i64, maximum: i64) {
+        self.largest_job = self.largest_job.max(slots.min(maximum));
+        self.mean_per_job.add(slots as f64, SLOW_WEIGHT);
+    }
+
+    /// Adds the slot count of a worker that reports.
+    pub fn record_slot_count(&mut self, slot_count: i64) {
+        self.mean_per_worker.add(slot_count as f64, SLOW_WEIGHT);
+    }
+
+    /// Adds the free slots that a worker reports and returns its slot count, as far as reports have shown it.
+    /// The machine kind counts, as a worker may never have reported a free slot.
+    pub fn record_free_slots(&mut self, worker: &mut Worker, free: f64) -> i64 {
+        let largest = self.largest_free.entry(worker.endpoint.kind).or_insert(free);
+        *largest += LARGER_REPORT_WEIGHT * (free - *largest).max(0.0);
+        worker.load.max_free_slots = worker.load.max_free_slots.max(free.round() as i64);
+        self.slot_count(worker)
+    }
+}
--- a/crates/decision/src/state/worker.rs
+++ b/crates/decision/src/state/worker.rs
@@ -1,98 +1,135 @@
 //! A worker as a dispatcher knows it.
 
-use super::Mean;
-use crate::interface::*;
+use super::WorkerHealth;
+use crate::estimators::MovingAverage;
+use crate::interface::{AttemptId, Endpoint, EndpointState, JobId, Micros};
 
-/// A worker as this dispatcher knows it.
-pub struct Worker {
-    pub member: Endpoint,
-    /// Tokens held by attempts.
-    pub held: i64,
+/// What a worker's load reports have shown.
+#[derive(Default)]
+pub struct ReportedLoad {
     /// Most free slots ever reported.
-    pub slots: i64,
-    /// Slots that others took at the latest report, smoothed; and in the mean of a long time.
-    pub others: f64,
-    pub usual: Mean,
-    /// When the latest report came; 0: never.
-    pub reported: Micros,
-    /// Connections that lie idle, by when the attempts on them ended well.
-    pub idle: Vec<Micros>,
-    /// Smoothed logarithm of running time over what is expected, failures included.
-    pub strain: f64,
-    /// Its tokens lie out until it is readmitted, from then on; 0: in service.
-    pub ejected_until: Micros,
-    /// Ejections since it last served well.
-    pub strikes: u32,
-    /// A probe is on its way, for this job if for any.
-    pub probing: Option<Option<JobId>>,
-    /// How classes fare here, where it matters.
-    pub shut: Vec<Shut>,
-    /// Attempts in flight.
-    pub out: Vec<(JobId, AttemptId)>,
-    /// Work that it may be sent while cold, as of a time.
-    pub credit: f64,
-    pub credited: Micros,
-    /// When an operator took it back; 0: never since its start.
-    pub back: Micros,
+    pub max_free_slots: i64,
+    /// Slots that other schedulers used at the latest report, smoothed.
+    pub foreign_slots: f64,
+    /// The same, averaged over a longer time.
+    pub mean_foreign_slots: MovingAverage,
+    /// When the latest report came.
+    pub reported_at: Option<Micros>,
+}
+
+impl ReportedLoad {
+    /// Whether there was a report less than `age` ago.
+    pub fn is_younger_than(&self, age: Micros, now: Micros) -> bool {
+        self.reported_at.is_some_and(|reported_at| now - reported_at < age)
+    }
+}
+
+/// A health check of a worker.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum HealthCheck {
+    /// None is pending.
+    #[default]
+    Idle,
+    /// One is pending, to keep the load known.
+    Pending,
+    /// A load probe is pending: a job waits for it.
+    PendingFor(JobId),
 }
 
-/// A class at a worker: turned away there until then, so many times on end; never: served.
-pub struct Shut {
+/// The work that this scheduler may send to a worker in slow start.
+#[derive(Clone, Copy)]
+pub struct SlowStartBudget {
+    /// The balance in slot-microseconds.
+    pub balance: f64,
+    /// As of when.
+    pub updated_at: Micros,
+}
+
+/// A class at a worker that may have rejected it for want of capacity.
+pub struct CircuitBreaker {
+    /// The class.
     pub class: u16,
-    pub until: Micros,
-    pub strikes: u32,
+    /// The class stays away until then; 0: it was served last.
+    pub open_until: Micros,
+    /// Rejections on end.
+    pub consecutive_rejections: u32,
+}
+
+/// A worker as this dispatcher knows it.
+pub struct Worker {
+    /// Its entry in the endpoint list.
+    pub endpoint: Endpoint,
+    /// Tokens held by pending attempts.
+    pub held_tokens: i64,
+    /// Pending attempts.
+    pub attempts: Vec<(JobId, AttemptId)>,
+    /// What its load reports have shown.
+    pub load: ReportedLoad,
+    /// Its health score and ejections.
+    pub health: WorkerHealth,
+    /// When each idle connection was last used, the latest last.
+    pub idle_connections: Vec<Micros>,
+    /// The health check that is pending.
+    pub health_check: HealthCheck,
+    /// Circuit breakers of the classes that were served or rejected here.
+    pub breakers: Vec<CircuitBreaker>,
+    /// The work that may be sent to it in slow start.
+    pub slow_start: SlowStartBudget,
+    /// When an operator enabled it again; 0: not since its start.
+    pub enabled_at: Micros,
 }
 
 impl Worker {
-    /// A worker just listed; `held` and `out` carry over what an earlier process of it still has.
-    pub fn new(member: Endpoint, held: i64, out: Vec<(JobId, AttemptId)>, credit: f64, now: Micros) -> Self {
+    /// A worker that was just listed.
+    pub fn new(endpoint: Endpoint, slow_start: SlowStartBudget, enabled_at: Micros) -> Self {
         Worker {
-            member,
-            held,
-            slots: 0,
-            others: 0.0,
-            usual: Mean::default(),
-            reported: 0,
-            idle: Vec::new(),
-            strain: 0.0,
-            ejected_until: 0,
-            strikes: 0,
-            probing: None,
-            shut: Vec::new(),
-            out,
-            credit,
-            credited: now,
-            back: 0,
+            endpoint,
+            held_tokens: 0,
+            attempts: Vec::new(),
+            load: ReportedLoad::default(),
+            health: WorkerHealth::default(),
+            idle_connections: Vec::new(),
+            health_check: HealthCheck::Idle,
+            breakers: Vec::new(),
+            slow_start,
+            enabled_at,
         }
     }
 
-    /// How a class fares here.
-    pub fn shut_for(&mut self, class: u16) -> &mut Shut {
-        let at = self.shut.iter().position(|s| s.class == class).unwrap_or(self.shut.len());
-        if at == self.shut.len() {
-            self.shut.push(Shut { class, until: 0, strikes: 0 });
+    /// The circuit breaker of a class, if it was served or rejected here.
+    pub fn breaker(&self, class: u16) -> Option<&CircuitBreaker> {
+        self.breakers.iter().find(|breaker| breaker.class == class)
+    }
+
+    /// The circuit breaker of a class, closed if it is new.
+    pub fn breaker_mut(&mut self, class: u16) -> &mut CircuitBreaker {
+        let known = self.breakers.iter().position(|breaker| breaker.class == class);
+        let index = known.unwrap_or(self.breakers.len());
+        if known.is_none() {
+            self.breakers.push(CircuitBreaker { class, open_until: 0, consecutive_rejections: 0 });
         }
-        &mut self.shut[at]
+        &mut self.breakers[index]
     }
 
-    /// An attempt has ended; its tokens are no longer held.
-    pub fn give_back(&mut self, job: JobId, attempt: AttemptId, tokens: i64) {
-        self.held = (self.held - tokens).max(0);
-        self.out.retain(|out| *out != (job, attempt));
+    /// Adds a pending attempt with its tokens.
+    pub fn add_attempt(&mut self, job: JobId, attempt: AttemptId, tokens: i64) {
+        self.attempts.push((job, attempt));
+        self.held_tokens += tokens;
     }
 
-    /// Whether its tokens lie out.
-    pub fn ejected(&self) -> bool {
-        self.ejected_until > 0
+    /// Removes an attempt that ended, with its tokens.
+    pub fn remove_attempt(&mut self, job: JobId, attempt: AttemptId, tokens: i64) {
+        self.held_tokens = (self.held_tokens - tokens).max(0);
+        self.attempts.retain(|pending| *pending != (job, attempt));
     }
 
-    /// Whether it is back from an ejection and has not served well since.
-    pub fn on_trial(&self) -> bool {
-        self.strikes > 0
+    /// Whether the endpoint list lets it accept jobs.
+    pub fn is_listed_to_accept(&self) -> bool {
+        matches!(self.endpoint.state, EndpointState::Ready | EndpointState::Reserved)
     }
 
-    /// Whether the list says that it takes jobs.
-    pub fn ready(&self) -> bool {
-        matches!(self.member.state, EndpointState::Ready | EndpointState::Reserved)
+    /// Whether it left the endpoint list and has no pending attempt.
+    pub fn is_forgettable(&self) -> bool {
+        self.endpoint.state == EndpointState::Removed && self.attempts.is_empty()
     }
 }
