--- /dev/null
+++ b/crates/node/src/answer/tests.rs
@@ -0,0 +1,16 @@
+use super::*;
+
+#[test]
+fn only_a_refusal_says_that_trying_again_is_harmless() {
+    let text = |answer: Answer| String::from_utf8(answer.bytes(false)).unwrap();
+    let refused = text(Answer::Rejected { retry_after: 120.0 });
+    assert!(refused.starts_with("HTTP/1.1 503 ") && refused.contains("Retry-After: 0.120\r\n"));
+    assert!(!text(Answer::Rejected { retry_after: 0.0 }).contains("Retry-After"));
+    assert!(text(Answer::Failed(Failure::DeadlineExceeded)).starts_with("HTTP/1.1 504 "));
+    assert!(text(Answer::Failed(Failure::AttemptsFailed)).starts_with("HTTP/1.1 502 "));
+    assert!(text(Answer::Failed(Failure::DependencyFailed)).starts_with("HTTP/1.1 424 Failed Dependency\r\n"));
+    assert!(text(Answer::Failed(Failure::DependencyCycle)).ends_with("wait for this one\n"));
+    assert!(
+        text(Answer::Served(b"ab".to_vec())).ends_with("Content-Length: 2\r\nConnection: close\r\n\r\nab")
+    );
+}
--- /dev/null
+++ b/crates/node/src/clock/tests.rs
@@ -0,0 +1,23 @@
+use super::*;
+use std::cell::Cell;
+use std::rc::Rc;
+
+#[test]
+fn timers_come_due_in_order_and_not_early() {
+    let mut timers = Timers::new();
+    [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (1.5, 'b')].into_iter().for_each(|(at, c)| timers.set(at, c));
+    assert_eq!((timers.due(0.9), timers.next()), (None, Some(1.0)));
+    let due: String = std::iter::from_fn(|| timers.due(5.0)).collect();
+    assert_eq!(due, "abcd");
+}
+
+#[test]
+fn the_system_clock_is_unix_time_and_goes_on() {
+    let clock = Clock::system();
+    let first = clock.now();
+    assert!(first > 1.6e12 && clock.now() >= first);
+    let cell = Rc::new(Cell::new(7.0));
+    let set = Clock::set(cell.clone());
+    cell.set(9.5);
+    assert_eq!(set.now(), 9.5);
+}
--- /dev/null
+++ b/crates/node/src/drain/tests.rs
@@ -0,0 +1,70 @@
+use super::*;
+
+#[test]
+fn it_serves_on_for_over_half_the_time_left_from_the_first_signal() {
+    let mut drain = Drain::new(20_000.0);
+    assert!(!drain.is_on() && !drain.closes_idle(1e9));
+    drain.start_shutdown(100.0);
+    drain.start_shutdown(900.0);
+    assert!(drain.is_on() && drain.shutdown_deadline() == Some(3_700.0));
+    assert!(!drain.closes_idle(2_000.0) && drain.closes_idle(2_100.0));
+    let mut short = Drain::new(400.0);
+    short.start_shutdown(0.0);
+    assert!(short.shutdown_deadline() == Some(1_000.0) && short.closes_idle(560.0));
+}
+
+#[test]
+fn a_drain_by_call_serves_on_for_over_a_second_ends_within_two_and_is_undone_at_any_stage() {
+    let mut drain = Drain::new(20_000.0);
+    drain.start_by_operator(100.0);
+    drain.start_by_operator(1_000.0); // a second call puts nothing off
+    assert!(
+        drain.is_on()
+            && !drain.is_shutting_down()
+            && drain.keeps_connections(100.0, false)
+            && !drain.keeps_connections(100.0, true)
+    );
+    // The front needs 300 ms to notice; a client whose connection ended before that might come back.
+    assert!(drain.keeps_connections(100.0 + 300.0, false) && !drain.keeps_connections(100.0 + 500.0, false));
+    assert!(!drain.rejects_jobs(1_200.0) && !drain.closes_idle(1_200.0));
+    assert!(drain.rejects_jobs(2_000.0) && drain.closes_idle(2_000.0) && !drain.may_exit(1e9));
+    drain.cancel_by_operator();
+    assert!(!drain.is_on() && drain.keeps_connections(2_000.0, true) && drain.closes_idle_at().is_none());
+    drain.start_by_operator(3_000.0);
+    drain.start_shutdown(3_100.0);
+    drain.cancel_by_operator();
+    assert!(drain.is_shutting_down() && !drain.rejects_jobs(1e9) && drain.closes_idle_at() == Some(5_080.0));
+    assert!(!drain.may_exit(5_000.0) && drain.may_exit(5_100.0));
+}
+
+#[test]
+fn sigterm_late_in_a_drain_by_call_leaves_time_for_connections_that_still_come() {
+    let mut drain = Drain::new(20_000.0);
+    drain.start_by_operator(0.0);
+    assert!(!drain.may_exit(60_000.0));
+    drain.start_shutdown(60_000.0);
+    assert!(!drain.may_exit(60_000.0) && !drain.may_exit(60_399.0) && drain.may_exit(60_400.0));
+    assert!(!drain.is_past_deadline(63_599.0) && drain.is_past_deadline(63_600.0));
+}
+
+#[test]
+fn with_a_successor_the_way_out_sends_nobody_away_and_closes_late() {
+    let mut drain = Drain::new(20_000.0);
+    drain.set_successor(true);
+    assert!(!drain.is_on() && !drain.keeps_connections(0.0, false) && drain.closes_idle_at().is_none());
+    drain.start_shutdown(100.0);
+    assert!(!drain.is_on() && !drain.is_healthy() && !drain.may_exit(3_000.0) && drain.may_exit(3_200.0));
+    // Should the successor die, this is a way out like any other.
+    drain.set_successor(false);
+    assert!(drain.is_on() && drain.may_exit(2_100.0));
+}
+
+#[test]
+fn a_drain_taken_over_lasts_and_leaves_the_new_process_fit() {
+    let mut drain = Drain::new(20_000.0);
+    drain.start_inherited(0.0);
+    assert!(drain.is_on() && drain.is_operator_drain() && drain.is_healthy());
+    drain.start_by_operator(10.0); // now it was told itself
+    drain.start_inherited(20.0);
+    assert!(!drain.is_healthy() && drain.rejects_jobs(2_000.0));
+}
--- /dev/null
+++ b/crates/node/src/intake/tests.rs
@@ -0,0 +1,94 @@
+use super::*;
+use crate::config::tests::config;
+use crate::http::Decoder;
+
+/// Reads a whole message.
+pub fn ask(text: &str) -> IncomingRequest {
+    let mut decoder = Decoder::new();
+    decoder.feed(text.as_bytes());
+    read(decoder.next().unwrap().unwrap(), &config().site, true)
+}
+
+/// A job from a message, or its status.
+pub fn job_of(text: &str) -> Result<Job, u16> {
+    match ask(text) {
+        IncomingRequest::Job(job) => Ok(*job),
+        IncomingRequest::Invalid(status) => Err(status),
+        _ => panic!("neither a job nor wrong"),
+    }
+}
+
+#[test]
+fn a_job_is_read_with_all_its_figures() {
+    let job = job_of(
+        "POST /fund/x?y=1 HTTP/1.1\r\nX-Trace-Id: 9b1f\r\nX-Qos: fund\r\nX-Object: 7f3a9c21e0b4d655\r\n\
+         Idempotency-Key: k\r\nX-Expires-In: 480m\r\nX-Size-Hint: 2500\r\nX-Props: slots=4,memory=0.5\r\nContent-Length: 2\r\n\r\nab",
+    );
+    let job = job.unwrap();
+    assert_eq!((job.class, job.key, job.size_hint), (1, 0x7f3a_9c21_e0b4_d655, Some(2_500)));
+    assert_eq!((job.slots, job.wait, job.trace_id.as_str()), (4, 480.0, "9b1f"));
+    assert_eq!((millis("1500u", None), millis("1500", None)), (Some(1.5), None));
+}
+
+#[test]
+fn a_customer_is_found_by_its_name_and_one_that_nobody_knows_is_taken_all_the_same() {
+    let of = |header: &str| {
+        job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{header}\r\n")).map(|job| job.customer)
+    };
+    assert_eq!((of("X-Customer: zeta\r\n"), of("X-Customer: acme\r\n")), (Ok(1), Ok(0)));
+    assert_eq!(
+        (of("X-Customer: nobody\r\n"), of(""), of("X-Customer:\r\n")),
+        (Ok(NOBODY), Ok(NOBODY), Ok(NOBODY))
+    );
+    assert_eq!(of("X-Customer: zeta\r\nX-Customer: acme\r\n"), Err(400), "two names buy no second share");
+}
+
+#[test]
+fn what_a_target_gets_is_what_the_client_sent() {
+    let job = job_of(
+        "POST /render/a?b=%20c HTTP/1.1\r\nHost: o.svc\r\nX-Trace-Id: t1\r\nIdempotency-Key: k\r\n\
+         X-Expires-In: 480m\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
+    );
+    let sent = String::from_utf8(job.unwrap().payload.request(250.0)).unwrap();
+    let expected =
+        "POST /render/a?b=%20c HTTP/1.1\r\nHost: o.svc\r\nX-Trace-Id: t1\r\nIdempotency-Key: k\r\n\
+         X-Expires-In: 250000u\r\nContent-Length: 2\r\n\r\nab";
+    assert_eq!(sent, expected);
+}
+
+#[test]
+fn what_is_no_job_gets_its_status_and_goes_nowhere() {
+    let cases = [
+        ("POST /nothing HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n", 404),
+        ("GET /render HTTP/1.1\r\n\r\n", 405),
+        ("POST /render HTTP/1.1\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a/../b\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: soon\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: -5m\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: NaNm\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: 480\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: 99999999999999999m\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Expires-In: 5m\r\nX-Expires-In: 6m\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Trace-Id: b\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Qos: gold\r\n\r\n", 404),
+        ("POST /gold HTTP/1.1\r\nX-Trace-Id: a\r\nX-Qos: render\r\n\r\n", 404),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Qos: fund\r\n\r\n", 400),
+        ("POST render HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n", 400),
+        ("POST //render HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n", 404),
+        ("POST /fund HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Size-Hint: huge\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Props: slots=-1\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Props: slots=1,slots=2\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Props: slots\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nHost: a\r\nHost: b\r\n\r\n", 400),
+        ("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nExpect: wonders\r\n\r\n", 417),
+        ("DELETE /up HTTP/1.1\r\n\r\n", 405),
+        ("GET /_jobs/news HTTP/1.1\r\n\r\n", 405),
+    ];
+    for (text, status) in cases {
+        assert_eq!(job_of(text).err(), Some(status), "{text}");
+    }
+    assert!(matches!(ask("GET /up HTTP/1.1\r\n\r\n"), IncomingRequest::Readiness));
+    assert!(matches!(ask("POST /_jobs/news HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
+    assert!(matches!(ask("POST /_jobs/news?again=1 HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
+}
--- /dev/null
+++ b/crates/node/src/job_status/tests.rs
@@ -0,0 +1,32 @@
+use super::*;
+use crate::config::tests::config;
+
+#[test]
+fn news_of_every_kind_are_read() {
+    let site = config().site;
+    let read = |state: &str| {
+        JobStatusUpdate::read(format!(r#"{{"id":"9b","from":"s-1","state":{state}}}"#).as_bytes(), &site)
+    };
+    let cases = [
+        (r#""started""#, State::Started),
+        (r#""running","share":0.4"#, State::Running(0.4)),
+        (r#""done","result":"r\n1""#, State::Done(b"r\n1".to_vec())),
+        (r#""failed""#, State::Failed),
+        (r#""returned""#, State::Returned),
+        (r#""lost""#, State::Lost),
+    ];
+    for (text, state) in cases {
+        assert_eq!(read(text).unwrap().state, state);
+    }
+    assert!(read(r#""odd""#).is_none() && JobStatusUpdate::read(b"[1]", &site).is_none());
+    let news = read(r#""done","result":"x","load":{"qps":3.5,"x0":2}"#).unwrap();
+    assert!(news.report[0] == 3.5 && news.report[1].is_nan() && news.report[2] == 2.0);
+}
+
+#[test]
+fn reports_are_read_from_headers_and_bodies() {
+    let site = config().site;
+    assert_eq!(report_from_text("TEXT inflight=7, qps=1.5, x0=2", &site), vec![1.5, 7.0, 2.0]);
+    assert_eq!(report_from_text(r#"{"qps":1,"inflight":2,"x0":3}"#, &site), vec![1.0, 2.0, 3.0]);
+    assert!(report_from_text("TEXT other=1", &site).is_empty());
+}
--- /dev/null
+++ b/crates/node/src/metrics/tests.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+fn class(name: &str) -> NamedClass {
+    NamedClass { name: name.into(), max_wait_ms: 1.0 }
+}
+
+use serde_json::{json, Value};
+
+#[test]
+fn every_class_and_figure_is_shown_from_the_start_and_each_end_counts_under_its_own() {
+    let classes = [class("render"), class("fund")];
+    let mut metrics = Metrics::new(&classes, &[]);
+    let shown = |f: &Metrics| {
+        let gauges = Gauges { in_flight: 3, workers_known: 12, workers_excluded: 1, ..Gauges::default() };
+        serde_json::from_str::<Value>(&f.json(gauges)).unwrap()
+    };
+    let none = json!({"render": 0, "fund": 0});
+    assert_eq!(
+        shown(&metrics),
+        json!({"served": none, "refused": none, "failed": none, "attempts": 0, "in_flight": 3,
+            "workers_known": 12, "workers_excluded": 1, "reloads_ok": 0, "reloads_failed": 0})
+    );
+    let waiting = Some(DeferralGauges { held: 5, released: 7, longest_wait_ms: 250 });
+    let with: Value = serde_json::from_str(&metrics.json(Gauges { waiting, ..Gauges::default() })).unwrap();
+    assert_eq!([&with["held"], &with["released"], &with["longest_wait_ms"]], [5, 7, 250]);
+    metrics.ended(0, 0, FinalStatus::Served);
+    metrics.ended(1, 0, FinalStatus::Served);
+    metrics.ended(1, 7, FinalStatus::Rejected);
+    metrics.ended(0, 0, FinalStatus::Failed);
+    metrics.ended(9, 0, FinalStatus::Failed); // no such class
+    let now = shown(&metrics);
+    assert_eq!(now["served"], json!({"render": 1, "fund": 1}));
+    assert_eq!(
+        (&now["refused"], &now["failed"]),
+        (&json!({"render": 0, "fund": 1}), &json!({"render": 1, "fund": 0}))
+    );
+    assert_eq!((metrics.total(FinalStatus::Served), metrics.total(FinalStatus::Failed)), (2, 1));
+}
+
+#[test]
+fn jobs_count_by_customer_where_there_are_any_and_unknown_ones_under_one_name() {
+    let mut metrics = Metrics::new(&[class("fund")], &["acme".to_string(), "zeta".to_string()]);
+    metrics.ended(0, 1, FinalStatus::Served);
+    metrics.ended(0, 1, FinalStatus::Rejected);
+    metrics.ended(0, 2, FinalStatus::Failed);
+    metrics.ended(0, u16::MAX, FinalStatus::Failed);
+    let gauges = Gauges { over_quota: vec![0, 7], ..Gauges::default() };
+    let shown: Value = serde_json::from_str(&metrics.json(gauges)).unwrap();
+    let acme = json!({"served": 0, "refused": 0, "failed": 0, "over_share": 0});
+    let zeta = json!({"served": 1, "refused": 1, "failed": 0, "over_share": 7});
+    let others = json!({"served": 0, "refused": 0, "failed": 2});
+    assert_eq!(shown["customers"], json!({"acme": acme, "zeta": zeta, "(others)": others}));
+    assert_eq!(metrics.total(FinalStatus::Failed), 2, "and each once by its class");
+}
