--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,74 +1,169 @@
-//! What a scheduler is told at its start.
+//! The configuration of a scheduler: a JSON file, the setup file beside it, and the environment.
 
-use crate::discovery::List;
+use crate::discovery::{List, ListError};
 use crate::intake::fnv;
-use postusher_settings::SiteSettings;
-
+use postusher_settings::{SettingsError, SiteSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use std::net::SocketAddr;
-use std::path::Path;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
+use std::num::ParseIntError;
+use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// The environment variable with the address of the admin interface, for a file that does not set one.
+const ADMIN_ADDRESS_VARIABLE: &str = "NODE_MGMT";
+/// The smallest number of file descriptors with which a process can serve clients.
+const MIN_DESCRIPTORS: usize = 64;
+/// The memory limit that is assumed for a file without one: the smallest that a deployment gives.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// The memory limit divided by the largest endpoint list. While a list is read, it is in memory twice beside the list
+/// held: as text and as entries.
+const MEMORY_PER_LIST: f64 = 8.0;
+/// The limit of an endpoint list is never below this many bytes, so that the list of the largest fleet fits.
+const MIN_LIST_LIMIT: usize = 2 << 20;
+
+/// Why a configuration cannot be used. Its text is one line, but for the mistakes of a setup file.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The configuration file cannot be read.
+    #[error("{}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The error of the system.
+        source: io::Error,
+    },
+    /// The configuration file has a mistake in it.
+    #[error("{}: {source}", path.display())]
+    Invalid {
+        /// The file.
+        path: PathBuf,
+        /// The mistake.
+        source: ConfigFileError,
+    },
+    /// The environment has a mistake in it.
+    #[error(transparent)]
+    AdminAddress(#[from] AdminAddressError),
+    /// The setup file cannot be read or has mistakes in it, one on each line.
+    #[error("{0}")]
+    Setup(String),
+    /// The setup file has a pool of workers, which is for schedulers without a configuration.
+    #[error("{}: pool {pool:?} stands beside a configuration; leave --config out", path.display())]
+    PoolBesideConfiguration {
+        /// The setup file.
+        path: PathBuf,
+        /// The pool's name.
+        pool: String,
+    },
+    /// The setup file names a class that the settings do not have.
+    #[error("{}: there is no class {class:?}; there are {known}", path.display())]
+    UnknownClass {
+        /// The setup file.
+        path: PathBuf,
+        /// The name.
+        class: String,
+        /// The names of all classes.
+        known: String,
+    },
+}
+
+/// A mistake in a configuration file.
+#[derive(Debug, Error)]
+pub enum ConfigFileError {
+    /// It is not JSON, lacks a required key or has a value of the wrong type.
+    #[error("{0}")]
+    Malformed(serde_json::Error),
+    /// The seed is not a hexadecimal number of 64 bits.
+    #[error("seed {text:?}: {source}")]
+    Seed {
+        /// The seed as it stands in the file.
+        text: String,
+        /// Why it is not a number.
+        source: ParseIntError,
+    },
+    /// It allows this many file descriptors, which is too few.
+    #[error("limits.sockets is {0}; {MIN_DESCRIPTORS} at least")]
+    TooFewDescriptors(usize),
+    /// The cached endpoint list cannot be read.
+    #[error("known: {0}")]
+    CachedList(ListError),
+    /// The settings cannot be used.
+    #[error("{0}")]
+    Settings(SettingsError),
+}
+
+/// The address of the admin interface in the environment is not an address.
+#[derive(Clone, Debug, Error, PartialEq)]
+#[error("{ADMIN_ADDRESS_VARIABLE} {text:?}: {source}")]
+pub struct AdminAddressError {
+    text: String,
+    source: AddrParseError,
+}
 
 /// The configuration, read and checked.
 pub struct Config {
     /// The scheduler's name.
     pub name: String,
-    /// Where clients connect, and workers with their news.
+    /// The address that clients connect to, and workers with job status updates.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The address of the admin interface, if there is one.
     pub mgmt: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// A list of discovery's holds this many bytes at most.
+    /// Limit of an endpoint list, in bytes.
     pub max_list: usize,
-    /// The list of workers as last had.
+    /// The endpoint list as it was last known.
     pub known: List,
     /// The settings, with the names that messages use.
     pub site: SiteSettings,
     /// A digest of the settings as they stand in the file.
     pub digest: u64,
-    /// What this scheduler can do beyond that.
+    /// The setup file; the default without one.
     pub setup: Setup,
 }
 
-/// The setup file, if there is one.
+/// The setup file that stands beside a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Setup(pub postusher_setup::Setup);
 
 impl Setup {
-    /// Reads the file, if one is named, and holds it against the settings.
+    /// Reads the file, if there is one, and checks it against the settings.
     ///
     /// # Errors
-    /// All that is wrong with it.
-    pub fn load(path: Option<&Path>, site: &SiteSettings) -> Result<Setup, String> {
+    /// The file cannot be read, has mistakes in it, or does not fit the settings.
+    pub fn load(path: Option<&Path>, site: &SiteSettings) -> Result<Setup, ConfigError> {
         let Some(path) = path else { return Ok(Setup::default()) };
-        let setup = postusher_setup::load(path)?;
+        let setup = postusher_setup::load(path).map_err(|error| ConfigError::Setup(error.to_string()))?;
         if let Some(pool) = setup.pools.first() {
-            let (path, name) = (path.display(), &pool.name);
-            return Err(format!("{path}: pool {name:?} stands beside a configuration; leave --config out"));
+            return Err(ConfigError::PoolBesideConfiguration { path: path.into(), pool: pool.name.clone() });
         }
         let known: Vec<&str> = site.classes.iter().map(|class| class.name.as_str()).collect();
-        let weights = setup.waiting.iter().flat_map(|w| w.weights.keys());
-        if let Some(other) = weights.into_iter().find(|name| !known.contains(&name.as_str())) {
-            let classes = known.join(", ");
-            return Err(format!("{}: there is no class {other:?}; there are {classes}", path.display()));
+        let mut weighted = setup.waiting.iter().flat_map(|waiting| waiting.weights.keys());
+        if let Some(unknown) = weighted.find(|name| !known.contains(&name.as_str())) {
+            return Err(ConfigError::UnknownClass {
+                path: path.into(),
+                class: unknown.clone(),
+                known: known.join(", "),
+            });
         }
         Ok(Setup(setup))
     }
 
-    /// The bounds of the waiting room, if jobs may wait.
+    /// The limits of deferred jobs; `None` if jobs cannot be deferred.
     pub fn limits(&self, site: &SiteSettings) -> Option<postusher_deferred_jobs::Limits> {
-        let names = site.classes.iter().map(|class| class.name.as_str());
-        self.0.waiting.as_ref().map(|w| w.limits(names))
+        let waiting = self.0.waiting.as_ref()?;
+        Some(waiting.limits(site.classes.iter().map(|class| class.name.as_str())))
     }
 }
 
+/// The form of the configuration file.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -76,65 +171,71 @@
     mgmt: Option<SocketAddr>,
     discovery: SocketAddr,
     seed: String,
-    limits: Limits,
+    limits: ProcessLimits,
     #[serde(default)]
     known: Option<Box<RawValue>>,
     settings: serde_json::Value,
 }
 
+/// The form of the limits of the process.
 #[derive(Deserialize)]
-struct Limits {
+struct ProcessLimits {
     sockets: usize,
-    #[serde(default = "usual_memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: f64,
 }
 
-/// Of a file that does not say: the least that a platform of the operators' page gives.
-fn usual_memory() -> f64 {
-    192.0
+fn default_memory_mb() -> f64 {
+    DEFAULT_MEMORY_MB
 }
 
-/// A list may take so much of the memory, as a divisor: it stands there twice for a moment, as text and as entries, beside
-/// the list held. At 192 MB that is room for some 100,000 workers.
-const LIST_PART: f64 = 8.0;
-/// And may have this much in any case, in bytes: what the largest fleet of the operators' page needs.
-const LEAST_LIST: usize = 2 << 20;
-
-fn max_list(memory_mb: f64) -> usize {
-    ((memory_mb * 1e6 / LIST_PART) as usize).max(LEAST_LIST)
+impl ProcessLimits {
+    /// The limit of an endpoint list, in bytes.
+    fn max_list(&self) -> usize {
+        let part = (self.memory_mb * 1e6 / MEMORY_PER_LIST) as usize;
+        part.max(MIN_LIST_LIMIT)
+    }
 }
 
-/// Where operators call, for a file that does not say.
-const MGMT: &str = "NODE_MGMT";
-
-/// The address that the environment names, if it does.
-fn mgmt_of(text: Option<String>) -> Result<Option<SocketAddr>, String> {
-    let addr = |text: String| text.parse().map_err(|e| format!("{MGMT} {text:?}: {e}"));
-    text.filter(|text| !text.is_empty()).map(addr).transpose()
+/// The address of the admin interface in the environment; an empty variable counts as none.
+fn admin_address(text: Option<String>) -> Result<Option<SocketAddr>, AdminAddressError> {
+    let Some(text) = text.filter(|text| !text.is_empty()) else { return Ok(None) };
+    match text.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(source) => Err(AdminAddressError { text, source }),
+    }
 }
 
-/// Fewer descriptors than this cannot serve anybody.
-const FEWEST_SOCKETS: usize = 64;
-
 impl Config {
-    /// Reads a configuration file, or says in one line what is wrong with it; and a setup file, where there is one.
-    pub fn load(path: &Path, setup: Option<&Path>) -> Result<Config, String> {
-        let text = std::fs::read(path).map_err(|e| format!("{}: {e}", path.display()))?;
-        let config = Config::read(&text).map_err(|e| format!("{}: {e}", path.display()))?;
-        let config = Config { setup: Setup::load(setup, &config.site)?, ..config };
-        Ok(Config { mgmt: config.mgmt.or(mgmt_of(std::env::var(MGMT).ok())?), ..config })
+    /// Reads a configuration file, the setup file if there is one, and the environment.
+    ///
+    /// # Errors
+    /// One of them has a mistake in it.
+    pub fn load(path: &Path, setup: Option<&Path>) -> Result<Config, ConfigError> {
+        let text =
+            std::fs::read(path).map_err(|source| ConfigError::Unreadable { path: path.into(), source })?;
+        let mut config =
+            Config::read(&text).map_err(|source| ConfigError::Invalid { path: path.into(), source })?;
+        config.setup = Setup::load(setup, &config.site)?;
+        let from_environment = admin_address(std::env::var(ADMIN_ADDRESS_VARIABLE).ok())?;
+        config.mgmt = config.mgmt.or(from_environment);
+        Ok(config)
     }
 
-    fn read(text: &[u8]) -> Result<Config, String> {
-        let file: File = serde_json::from_slice(text).map_err(|e| e.to_string())?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| format!("seed {:?}: {e}", file.seed))?;
-        if file.limits.sockets < FEWEST_SOCKETS {
-            return Err(format!("limits.sockets is {}; {FEWEST_SOCKETS} at least", file.limits.sockets));
+    fn read(text: &[u8]) -> Result<Config, ConfigFileError> {
+        let file: ConfigFile = serde_json::from_slice(text).map_err(ConfigFileError::Malformed)?;
+        let seed = match u64::from_str_radix(&file.seed, 16) {
+            Ok(seed) => seed,
+            Err(source) => return Err(ConfigFileError::Seed { text: file.seed, source }),
+        };
+        if file.limits.sockets < MIN_DESCRIPTORS {
+            return Err(ConfigFileError::TooFewDescriptors(file.limits.sockets));
         }
         let known = match &file.known {
+            Some(known) => List::read(known.get()).map_err(ConfigFileError::CachedList)?,
             None => List::default(),
-            Some(known) => List::read(known.get()).map_err(|e| format!("known: {e}"))?,
         };
+        let site = SiteSettings::from_value(&file.settings).map_err(ConfigFileError::Settings)?;
         Ok(Config {
             name: file.name,
             listen: file.listen,
@@ -142,9 +243,9 @@
             discovery: file.discovery,
             seed,
             sockets: file.limits.sockets,
-            max_list: max_list(file.limits.memory_mb),
+            max_list: file.limits.max_list(),
             known,
-            site: SiteSettings::from_value(&file.settings).map_err(|e| e.to_string())?,
+            site,
             digest: fnv(file.settings.to_string().as_bytes()),
             setup: Setup::default(),
         })
@@ -152,75 +253,4 @@
 }
 
 #[cfg(test)]
-pub mod tests {
-    use super::*;
-    use serde_json::json;
-
-    /// A configuration as the deployment writes it.
-    pub fn sample() -> serde_json::Value {
-        json!({"name": "n3", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 128},
-            "known": {"version": 41, "full": true, "servers": [
-                {"id": "s-1", "addr": "127.0.0.1:9001", "zone": "b", "kind": "k1", "cell": 3, "state": "up",
-                    "weight": 1.0, "started_ms": 0}]},
-            "settings": {"MyZone": 1, "Zones": ["a", "b"], "Models": ["k0", "k1"],
-                "Permissions": {"Cancel": true, "ConnectTimeoutMs": 100, "KeepaliveMs": 5000, "MaxAttempts": 5,
-                    "MaxRetryAfterMs": 2000, "RetryAfter": true, "SecondCopies": true},
-                "Realms": [{"Name": "acme", "QuotaPerS": 4.5, "Share": 0.6}, {"Name": "zeta", "QuotaPerS": 3, "Share": 0.4}],
-                "Report": {"Fields": ["tps", "concurrent", "x0"], "Source": "inline"},
-                "Rules": {"ColdFrom": 0.4, "FallMs": 1500, "OverloadFactor": 3, "WarmAfterMs": 8000},
-                "Services": [{"Name": "render", "Effect": "repeatable", "GoalTimeMs": 400, "HardLimitMs": 5000},
-                    {"Name": "fund", "Effect": "by_key", "Group": "cell", "GoalTimeMs": 1000,
-                        "HardLimitMs": 20000, "WindowMs": 30000}],
-                "Specifics": {"ReportX0": "free slots"}}})
-    }
-
-    /// The sample, read.
-    pub fn config() -> Config {
-        Config::read(sample().to_string().as_bytes()).unwrap()
-    }
-
-    #[test]
-    fn a_configuration_is_read_whole() {
-        let c = config();
-        assert_eq!((c.name.as_str(), c.seed, c.sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 128));
-        assert_eq!((c.site.classes[1].name.as_str(), c.known.entries.len()), ("fund", 1));
-        assert!(c.mgmt.is_none()); // older deployments have none
-    }
-
-    #[test]
-    fn the_operators_address_is_the_files_or_else_the_environments() {
-        let mut file = sample();
-        file["mgmt"] = json!("127.0.0.1:9100");
-        let addr = Some(SocketAddr::from(([127, 0, 0, 1], 9100)));
-        assert_eq!(Config::read(file.to_string().as_bytes()).unwrap().mgmt, addr);
-        assert_eq!(mgmt_of(Some("127.0.0.1:9100".into())), Ok(addr));
-        assert_eq!((mgmt_of(None), mgmt_of(Some(String::new()))), (Ok(None), Ok(None)));
-        assert!(mgmt_of(Some("here".into())).unwrap_err().contains("NODE_MGMT"));
-    }
-
-    #[test]
-    fn what_is_wrong_is_said_in_one_line() {
-        let broken = [
-            ("listen", json!("here")),
-            ("seed", json!("xyz")),
-            ("settings", json!({})),
-            ("limits", json!({"sockets": 3})),
-            ("known", json!(7)),
-        ];
-        for (key, value) in broken {
-            let mut file = sample();
-            file[key] = value;
-            let error = Config::read(file.to_string().as_bytes()).err().unwrap();
-            assert!(!error.is_empty() && !error.contains('\n'), "{key}: {error}");
-        }
-        assert!(Config::load(Path::new("no/such/file"), None).err().unwrap().contains("no/such/file"));
-    }
-
-    #[test]
-    fn a_list_that_is_not_there_is_an_empty_one() {
-        let mut file = sample();
-        file.as_object_mut().unwrap().remove("known");
-        assert!(Config::read(file.to_string().as_bytes()).unwrap().known.entries.is_empty());
-    }
-}
+pub mod tests;
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -4,8 +4,9 @@
 use crate::http::{self, Decoder, Fault, Message, Outbox, RequestLine, StatusLine};
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use std::fmt;
 use std::net::SocketAddr;
+use std::str::Utf8Error;
+use thiserror::Error;
 
 /// For so long discovery may hold a call in which nothing changes. Guards against: a watch that falls silent, which
 /// shows only once this is over; until then workers that drain or are gone count as they were.
@@ -113,11 +114,12 @@
     ///
     /// # Errors
     /// What is wrong with the whole.
-    pub fn read(text: &str) -> Result<List, String> {
+    pub fn read(text: &str) -> Result<List, ListError> {
         fn read<'a, T: Deserialize<'a>>(raw: Option<&'a RawValue>) -> Option<T> {
             serde_json::from_str(raw?.get()).ok()
         }
-        let written: Written = serde_json::from_str(text).map_err(|e| e.to_string())?;
+        let written: Written =
+            serde_json::from_str(text).map_err(|error| ListError::Malformed(error.to_string()))?;
         let entry = |raw: &&RawValue| match serde_json::from_str(raw.get()) {
             Ok(entry) => Some(entry),
             Err(e) => {
@@ -133,47 +135,52 @@
     }
 }
 
+/// Why a text is not an endpoint list.
+#[derive(Clone, Debug, Error, PartialEq)]
+pub enum ListError {
+    /// It is not UTF-8.
+    #[error(transparent)]
+    NotUtf8(#[from] Utf8Error),
+    /// It is not JSON of the form of a list, with the parser's reason.
+    #[error("{0}")]
+    Malformed(String),
+}
+
 /// Why a call to discovery brought no list.
-#[derive(Clone, Debug, PartialEq)]
+#[derive(Clone, Debug, Error, PartialEq)]
 pub enum DiscoveryError {
-    /// No connection could be begun.
+    /// No connection could be begun, with the system's reason.
+    #[error("no connection: {0}")]
     NoConnection(String),
     /// The connection ended or failed before an answer.
+    #[error("the connection ended")]
     Ended,
-    /// And in the middle of one.
+    /// The connection ended or failed in the middle of an answer.
+    #[error("the connection ended in the middle of an answer")]
     EndedInAnswer,
-    /// Nothing came within the time for a call.
+    /// Nothing came within the time limit of the call.
+    #[error("no answer in time")]
     TimedOut,
     /// An answer began, and its rest did not come.
+    #[error("an answer has begun and does not go on")]
     StalledInAnswer,
-    /// Discovery said no, with this status.
+    /// Discovery answered with this status.
+    #[error("status {0}")]
     Status(u16),
-    /// The list is longer than the limit, in bytes.
+    /// The list is longer than this limit, in bytes.
+    #[error("the list is longer than {0} bytes, an eighth of limits.memory_mb")]
     TooLong(usize),
-    /// The answer is no HTTP that can be read; whether it begins as one that brings a list.
-    NotHttp { fault: Fault, begins_well: bool },
-    /// The answer's body is no list.
-    NotAList(String),
-}
-
-impl fmt::Display for DiscoveryError {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        match self {
-            DiscoveryError::NoConnection(why) => write!(f, "no connection: {why}"),
-            DiscoveryError::Ended => write!(f, "the connection ended"),
-            DiscoveryError::EndedInAnswer => write!(f, "the connection ended in the middle of an answer"),
-            DiscoveryError::TimedOut => write!(f, "no answer in time"),
-            DiscoveryError::StalledInAnswer => write!(f, "an answer has begun and does not go on"),
-            DiscoveryError::Status(status) => write!(f, "status {status}"),
-            DiscoveryError::TooLong(limit) => {
-                write!(f, "the list is longer than {limit} bytes, an eighth of limits.memory_mb")
-            }
-            DiscoveryError::NotHttp { fault, .. } => {
-                write!(f, "the answer is no HTTP (as status {})", fault.0)
-            }
-            DiscoveryError::NotAList(why) => write!(f, "the answer is no list: {why}"),
-        }
-    }
+    /// The answer is not HTTP.
+    #[error("the answer is no HTTP (as status {})", fault.0)]
+    NotHttp {
+        /// The mistake, as the status that a client would get for it.
+        fault: Fault,
+        /// Whether it begins as an answer that has a list in it.
+        begins_well: bool,
+    },
+    /// The body of the answer is not a list.
+    #[error("the answer is no list: {0}")]
+    NotAList(#[from] ListError),
 }
 
 impl DiscoveryError {
@@ -267,8 +274,8 @@
     if message.line.status != 200 {
         return Err(DiscoveryError::Status(message.line.status));
     }
-    let text = std::str::from_utf8(&message.body).map_err(|e| DiscoveryError::NotAList(e.to_string()))?;
-    let list = List::read(text).map_err(DiscoveryError::NotAList)?;
+    let text = std::str::from_utf8(&message.body).map_err(ListError::from)?;
+    let list = List::read(text)?;
     Ok(Answer { list, keep_alive: message.keep_alive })
 }
 
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -99,7 +99,7 @@
                 (None, None) => return Err("say --config FILE, or --setup FILE with pools in it".into()),
             };
             let signals = EventLoop::signals().map_err(|e| format!("signals: {e}"))?;
-            let config = Config::load(&path, setup.as_deref())?;
+            let config = Config::load(&path, setup.as_deref()).map_err(|e| e.to_string())?;
             let (name, reload) = (config.name.clone(), Reload::new(path, setup, &config));
             let serving = EventLoop::new(config, reload, signals, Clock::system()).and_then(|mut l| l.run());
             serving.map_err(|e| format!("{name}: {e}"))?;
@@ -114,7 +114,7 @@
             println!("{path}: good; {jobs}, {pools} pools with {workers} workers{member}");
         }
         Command::CheckConfig(arg) => {
-            let config = Config::load(&arg.config, None)?;
+            let config = Config::load(&arg.config, None).map_err(|e| e.to_string())?;
             let (classes, workers) = (config.site.classes.len(), config.known.entries.len());
             println!("{}: good; {classes} classes, {workers} workers known", arg.config.display());
         }
--- /dev/null
+++ b/crates/node/src/reload/tests.rs
@@ -0,0 +1,29 @@
+use super::*;
+use crate::config::tests::{config, sample};
+use serde_json::json;
+
+#[test]
+fn a_new_file_tells_what_has_changed_and_a_broken_one_is_refused() {
+    let path = std::env::temp_dir().join(format!("postusher-reload-{}.json", std::process::id()));
+    let reload = Reload::new(path.clone(), None, &config());
+    let read = |key: &str, value: serde_json::Value| {
+        let mut file = sample();
+        file[key] = value;
+        std::fs::write(&path, file.to_string()).unwrap();
+        reload.read()
+    };
+    let discovery: SocketAddr = ([127, 0, 0, 1], 10).into();
+    let moved = read("discovery", json!("127.0.0.1:10"));
+    assert_eq!(moved.unwrap(), New { discovery, sockets: 128, waiting: None, restart: Vec::new() });
+    // Seed and list are new with each start, and mean nothing to one that runs.
+    assert!(read("seed", json!("1")).is_ok_and(|new| new.restart.is_empty()));
+    assert_eq!(read("limits", json!({"sockets": 256})).unwrap().sockets, 256);
+    assert_eq!(read("listen", json!("127.0.0.1:1")).unwrap().restart, ["listen"]);
+    assert_eq!(read("mgmt", json!("127.0.0.1:1")).unwrap().restart, ["mgmt"]);
+    let mut settings = sample()["settings"].clone();
+    settings["Permissions"]["MaxAttempts"] = json!(2);
+    assert_eq!(read("settings", settings).unwrap().restart, ["settings"]);
+    assert!(read("discovery", json!("nowhere")).is_err());
+    std::fs::remove_file(&path).unwrap();
+    assert!(reload.read().is_err());
+}
