--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -1,13 +1,28 @@
-//! Time: milliseconds as a floating-point number, from one clock that tests can set, and timers on it.
+//! Time in milliseconds, from one clock that tests can set, and timers.
 
+use postusher_decision::Micros;
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// A point in time or a length of time, in milliseconds.
+/// A point in time, or a duration, in milliseconds.
 pub type Millis = f64;
 
-/// Milliseconds since 1970 that never go back: the system's clock is read once, a monotonic one goes on.
+const MILLIS_PER_SECOND: f64 = 1e3;
+const MICROS_PER_MILLI: f64 = 1e3;
+
+/// Converts the unit of the decision module.
+pub fn millis_from_micros(micros: Micros) -> Millis {
+    micros as f64 / MICROS_PER_MILLI
+}
+
+/// The earliest of several times, of which some may not be set.
+pub fn earliest(times: impl IntoIterator<Item = Option<Millis>>) -> Option<Millis> {
+    times.into_iter().flatten().reduce(f64::min)
+}
+
+/// Milliseconds since 1970 on a clock that only moves forward: the system's clock is read once, and a monotonic one
+/// continues from there.
 #[derive(Clone)]
 pub struct Clock(Source);
 
@@ -24,11 +39,12 @@
 impl Clock {
     /// The system's time.
     pub fn system() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |t| t.as_secs_f64() * 1e3);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let unix = since_epoch.map_or(0.0, |time| time.as_secs_f64() * MILLIS_PER_SECOND);
         Clock(Source::System { start: Instant::now(), unix })
     }
 
-    /// A clock that shows what is put into the cell.
+    /// A clock that shows the time in a cell.
     #[cfg(test)]
     pub fn set(cell: std::rc::Rc<std::cell::Cell<Millis>>) -> Clock {
         Clock(Source::Set(cell))
@@ -37,66 +53,69 @@
     /// The time now.
     pub fn now(&self) -> Millis {
         match &self.0 {
-            Source::System { start, unix } => unix + start.elapsed().as_secs_f64() * 1e3,
+            Source::System { start, unix } => unix + start.elapsed().as_secs_f64() * MILLIS_PER_SECOND,
             #[cfg(test)]
             Source::Set(cell) => cell.get(),
         }
     }
 }
 
-/// What is to happen at given times, the earliest first; at one time in the order of setting.
+/// Timers that carry a value. They expire in the order of their times; at one time, in the order in which they were
+/// set.
 pub struct Timers<T> {
-    heap: BinaryHeap<Entry<T>>,
-    set: u64,
+    heap: BinaryHeap<Timer<T>>,
+    /// The number of timers that were set so far.
+    count: u64,
 }
 
-struct Entry<T> {
+struct Timer<T> {
     at: Millis,
-    nth: u64,
-    what: T,
+    number: u64,
+    value: T,
 }
 
-impl<T> Ord for Entry<T> {
+impl<T> Ord for Timer<T> {
+    /// Reversed: the earliest is the greatest, which the heap has on top.
     fn cmp(&self, other: &Self) -> Ordering {
-        other.at.total_cmp(&self.at).then(other.nth.cmp(&self.nth))
+        other.at.total_cmp(&self.at).then(other.number.cmp(&self.number))
     }
 }
 
-impl<T> PartialOrd for Entry<T> {
+impl<T> PartialOrd for Timer<T> {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> PartialEq for Entry<T> {
+impl<T> PartialEq for Timer<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
 
-impl<T> Eq for Entry<T> {}
+impl<T> Eq for Timer<T> {}
 
 impl<T> Timers<T> {
     /// No timers.
     pub fn new() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers { heap: BinaryHeap::new(), count: 0 }
     }
 
     /// Sets a timer.
-    pub fn set(&mut self, at: Millis, what: T) {
-        self.set += 1;
-        self.heap.push(Entry { at, nth: self.set, what });
+    pub fn set(&mut self, at: Millis, value: T) {
+        self.count += 1;
+        self.heap.push(Timer { at, number: self.count, value });
     }
 
-    /// When the next one is due.
+    /// When the next timer expires.
     pub fn next(&self) -> Option<Millis> {
-        self.heap.peek().map(|e| e.at)
+        self.heap.peek().map(|timer| timer.at)
     }
 
-    /// Takes out one that is due.
+    /// Removes the next timer that has expired and returns its value; `None` if no further one has.
     pub fn due(&mut self, now: Millis) -> Option<T> {
-        self.heap.peek().filter(|e| e.at <= now)?;
-        self.heap.pop().map(|e| e.what)
+        self.heap.peek().filter(|timer| timer.at <= now)?;
+        self.heap.pop().map(|timer| timer.value)
     }
 }
 
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a scheduler: a JSON file, the setup file beside it, and the environment.
 
 use crate::discovery::{List, ListError};
-use crate::intake::fnv;
+use crate::stable_hash::fnv1a;
 use postusher_settings::{SettingsError, SiteSettings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -246,7 +246,7 @@
             max_list: file.limits.max_list(),
             known,
             site,
-            digest: fnv(file.settings.to_string().as_bytes()),
+            digest: fnv1a(file.settings.to_string().as_bytes()),
             setup: Setup::default(),
         })
     }
--- a/crates/node/src/dispatch/answers.rs
+++ b/crates/node/src/dispatch/answers.rs
@@ -1,109 +1,137 @@
-//! What the module and the waiting room want, and each request's one final answer.
+//! What the decision module and the deferred jobs want, and the one final answer of each job.
 
-use super::*;
+use super::open_job::JobPhase;
+use super::{Command, Dispatch, Timer};
+use crate::answer::{Answer, Failure};
+use crate::clock::{millis_from_micros, Millis};
+use crate::endpoint_list::EndpointList;
+use crate::invariant::{holds, Invariant};
+use postusher_decision::{Action, Event, JobId};
+use postusher_deferred_jobs::{Decision, JobEndStatus};
+use std::rc::Rc;
 
 impl Dispatch {
-    /// Carries out what the waiting room wants; says whether the module is to hear of any job.
-    pub(super) fn let_go(&mut self, now: Millis) -> bool {
-        let Dispatch { waiting, module, .. } = self;
-        let mut some = false;
-        for verdict in waiting.release(|| module.free_capacity(), now) {
-            match verdict {
+    /// Carries out what was decided on deferred jobs; returns how many of them the decision module gets now.
+    pub(super) fn release_deferred_jobs(&mut self, now: Millis) -> usize {
+        let dispatcher = &self.dispatcher;
+        let decisions = self.deferred.release(|| dispatcher.free_capacity(), now);
+        let mut released = 0;
+        for decision in decisions {
+            match decision {
                 Decision::Release(id) => {
                     let id = JobId(id.0);
-                    let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { continue };
-                    r.held = false;
-                    self.events.push(Event::JobArrived(r.told(id)));
-                    some = true;
+                    let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_answered()) else { continue };
+                    job.phase = JobPhase::Dispatched;
+                    self.events.push(Event::JobArrived(job.for_decision(id)));
+                    released += 1;
                 }
                 Decision::Fail(id) => {
-                    self.answer(JobId(id.0), Answer::Failed(Failure::DependencyFailed), now)
+                    self.answer(JobId(id.0), Answer::Failed(Failure::DependencyFailed), now);
                 }
                 Decision::Reject { id, retry_after } => {
-                    let retry_after = self.advice(retry_after);
+                    let retry_after = self.permitted_retry_after(retry_after);
                     self.answer(JobId(id.0), Answer::Rejected { retry_after }, now);
                 }
             }
         }
-        some
+        released
     }
 
-    pub(super) fn act(&mut self, action: Action, endpoints: &EndpointList, now: Millis) {
+    /// Carries out what the decision module wants.
+    pub(super) fn carry_out(&mut self, action: Action, endpoints: &EndpointList, now: Millis) {
         match action {
-            Action::StartAttempt { job, worker, timeout } => self.send(job, worker, timeout, endpoints, now),
-            Action::CancelAttempt { job, attempt } => self.withdraw(job, attempt, now),
+            Action::StartAttempt { job, worker, timeout } => {
+                self.start_attempt(job, worker, timeout, endpoints, now);
+            }
+            Action::CancelAttempt { job, attempt } => self.cancel_attempt(job, attempt, now),
             Action::Reject { job, retry_after } => {
-                let unsent = |r: &&mut Request| !r.answered && r.attempts.is_empty();
-                if let Some(r) = self.requests.get_mut(&job).filter(unsent) {
-                    r.held = self.waiting.turned_away(job, now);
-                    if r.held {
-                        return;
-                    }
-                    self.waiting.crowded(now);
-                }
-                self.answer(job, Answer::Rejected { retry_after: retry_after as f64 / 1e3 }, now);
+                self.rejected(job, millis_from_micros(retry_after), now);
             }
             Action::Fail { job } => {
-                let why = match self.requests.get(&job) {
-                    Some(r) if r.deadline <= now => Failure::DeadlineExceeded,
-                    Some(r) if r.rejected => Failure::Unprocessable,
-                    _ => Failure::AttemptsFailed,
-                };
-                self.answer(job, Answer::Failed(why), now);
+                let failure = self.failure(job, now);
+                self.answer(job, Answer::Failed(failure), now);
             }
             Action::SetTimer { after, timer } => {
-                self.timers.set(now + after as f64 / 1e3, Due::Module(timer));
+                self.timers.set(now + millis_from_micros(after), Timer::Decision(timer));
             }
             Action::CheckHealth { worker } => self.commands.push(Command::CheckHealth(worker)),
             Action::WatchEndpoints => self.commands.push(Command::WatchEndpoints),
             Action::CloseIdleConnections { worker } => {
-                self.commands.push(Command::CloseIdleConnections(worker))
+                self.commands.push(Command::CloseIdleConnections(worker));
+            }
+        }
+    }
+
+    /// The decision module rejects a job. One that was deferred before and had no attempt yet is deferred again, if
+    /// it can still wait.
+    fn rejected(&mut self, id: JobId, retry_after: Millis, now: Millis) {
+        if let Some(job) = self.jobs.get_mut(&id) {
+            if !job.is_answered() && job.attempts.is_empty() {
+                if self.deferred.turned_away(id, now) {
+                    job.phase = JobPhase::Deferred;
+                    return;
+                }
+                job.phase = JobPhase::Dispatched;
+                self.deferred.crowded(now);
             }
         }
+        self.answer(id, Answer::Rejected { retry_after }, now);
     }
 
-    /// A request's one final answer; what comes after it is ignored.
+    /// Why a job fails that the decision module gives up.
+    fn failure(&self, id: JobId, now: Millis) -> Failure {
+        match self.jobs.get(&id) {
+            Some(job) if job.deadline <= now => Failure::DeadlineExceeded,
+            Some(job) if job.last_unprocessable => Failure::Unprocessable,
+            _ => Failure::AttemptsFailed,
+        }
+    }
+
+    /// Gives a job its one final answer; a second one is ignored.
     pub(super) fn answer(&mut self, id: JobId, answer: Answer, now: Millis) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
-        r.answered = true;
+        let Some(open) = self.jobs.get_mut(&id).filter(|open| !open.is_answered()) else { return };
+        open.phase = JobPhase::Answered;
+        let (job, trace_id) = (&open.job, open.trace_id.clone());
         if !matches!(answer, Answer::Served(_)) {
-            let intake::Job { class, customer, slots, .. } = &r.job;
-            log::debug!("{} of class {class}, customer {customer}, {slots} slots: {answer:?}", r.trace_id);
+            log::debug!(
+                "job not served: trace_id={trace_id} class={} customer={} slots={} answer={answer:?}",
+                job.class,
+                job.customer,
+                job.slots
+            );
         }
-        let (how, trace_id) = (answer.kind(), r.trace_id.clone());
-        self.metrics.ended(r.job.class, r.job.customer, how);
-        self.commands.push(Command::Answer(r.client, answer));
-        self.doubtful.push(id);
-        self.has_ended(trace_id, how.into(), now);
+        let status = answer.kind();
+        self.metrics.ended(job.class, job.customer, status);
+        self.commands.push(Command::Answer(open.client, answer));
+        self.to_review.push(id);
+        self.publish_job_end(trace_id, status.into(), now);
     }
 
-    /// A job is over as far as others are concerned that wait for it.
-    pub(super) fn has_ended(&mut self, trace_id: Rc<str>, how: JobEndStatus, now: Millis) {
-        if self.waiting.is_on() {
-            self.waiting.ended(&trace_id, how, now);
-            self.commands.push(Command::PublishJobEnd(trace_id, how));
+    /// Tells the jobs that depend on a job that it has ended, here and at the other process of an upgrade.
+    pub(super) fn publish_job_end(&mut self, trace_id: Rc<str>, status: JobEndStatus, now: Millis) {
+        if self.deferred.is_on() {
+            self.deferred.ended(&trace_id, status, now);
+            self.commands.push(Command::PublishJobEnd(trace_id, status));
         }
     }
 
-    /// A request that is answered and has no attempt out is over; one that has outlived its deadline fails.
-    pub(super) fn look_at(&mut self, id: JobId, now: Millis) {
-        let Some(r) = self.requests.get(&id) else { return };
-        if !r.answered && now >= r.deadline + OVERDUE {
-            // Guards against: a client that waits for ever, should the module ever forget its job.
+    /// Fails a job whose answer is overdue, and removes one that is over.
+    pub(super) fn review(&mut self, id: JobId, now: Millis) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        if !job.is_answered() && now >= job.answer_due() {
+            // The decision module has forgotten the job; its client must not wait for ever.
             holds(Invariant::AnsweredInTime, false);
             self.events.push(Event::ClientDisconnected(id));
             self.answer(id, Answer::Failed(Failure::DeadlineExceeded), now);
         }
-        let Some(r) = self.requests.get(&id) else { return };
-        // The module may have ideas of its own about a job until it has had all that is gathered.
-        if r.answered && r.attempts.iter().all(|l| !l.out) {
-            if self.events.is_empty() {
-                if let Some(r) = self.forget(id) {
-                    self.commands.push(Command::ReleaseJobId(r.trace_id));
-                }
-            } else {
-                self.doubtful.push(id);
-            }
+        if !self.jobs.get(&id).is_some_and(|job| job.is_over()) {
+            return;
+        }
+        if self.has_events() {
+            // The decision module may still refer to the job until it has had all events.
+            self.to_review.push(id);
+        } else if let Some(job) = self.forget(id) {
+            self.commands.push(Command::ReleaseJobId(job.trace_id));
         }
     }
 }
--- a/crates/node/src/dispatch/arrivals.rs
+++ b/crates/node/src/dispatch/arrivals.rs
@@ -1,172 +1,196 @@
-//! Jobs as they come, go and move between the processes of an upgrade.
+//! Jobs that arrive, leave, and move between the processes of an upgrade.
 
-use super::*;
+use super::open_job::{prior_attempt, Attempt, JobPhase, OpenJob};
+use super::{Dispatch, JobNotAccepted, Timer};
+use crate::answer::{Answer, Failure};
+use crate::clock::{millis_from_micros, Millis};
+use crate::connection_id::ConnectionId;
+use crate::deferral::DeferralError;
+use crate::intake::Job;
+use crate::upgrade_protocol::{MigratedAttempt, MigratedDeferral, MigratedJob};
+use postusher_decision::{AttemptId, Event, JobId, WorkerId};
+use postusher_deferred_jobs::JobEndStatus;
+
+/// A job without an answer this long after its deadline was forgotten by the decision module.
+const OVERDUE_AFTER: Millis = 20.0;
+
+impl OpenJob {
+    /// When a missing answer shows that the decision module has forgotten the job.
+    pub(super) fn answer_due(&self) -> Millis {
+        self.deadline + OVERDUE_AFTER
+    }
+}
 
 impl Dispatch {
-    /// A client's job.
+    /// A client has submitted a job.
     ///
     /// # Errors
-    /// Why it is not taken; its client is to be told.
+    /// Why the job is not accepted; its client has to get an answer for it.
     pub fn job_arrived(
         &mut self,
         client: ConnectionId,
         job: Job,
         now: Millis,
     ) -> Result<JobId, JobNotAccepted> {
-        if self.by_trace_id.contains_key(job.trace_id.as_str()) {
+        if self.has_job(&job.trace_id) {
             return Err(JobNotAccepted::DuplicateId);
         }
-        let waits = !job.waits.is_empty();
-        let id = self.enter(client, job, now);
-        let Some(r) = self.requests.get_mut(&id) else { return Ok(id) };
+        let is_deferred = !job.waits.is_empty();
+        let id = self.open(client, job, now);
         self.metrics.taken += 1;
-        if !waits {
-            self.waiting.opened(&r.trace_id);
-            self.events.push(Event::JobArrived(r.told(id)));
-            return Ok(id);
-        }
-        match self.waiting.hold(id, client.number(), &r.job, r.deadline, now) {
-            Ok(()) => {
-                r.held = true;
-                Ok(id)
-            }
-            Err(turned) => {
-                let (class, customer) = (r.job.class, r.job.customer);
-                let answer = self.turned(turned);
-                self.metrics.ended(class, customer, answer.kind());
-                self.forget(id);
-                Err(JobNotAccepted::Answered(answer))
-            }
+        if is_deferred {
+            self.defer(id, now)?;
+        } else if let Some(job) = self.jobs.get(&id) {
+            self.deferred.opened(&job.trace_id);
+            self.events.push(Event::JobArrived(job.for_decision(id)));
         }
+        Ok(id)
+    }
+
+    /// Defers a job that has just arrived; one that cannot be deferred is forgotten.
+    fn defer(&mut self, id: JobId, now: Millis) -> Result<(), JobNotAccepted> {
+        let Some(job) = self.jobs.get_mut(&id) else { return Ok(()) };
+        let held = self.deferred.hold(id, job.client.number(), &job.job, job.deadline, now);
+        let Err(error) = held else {
+            job.phase = JobPhase::Deferred;
+            return Ok(());
+        };
+        let (class, customer) = (job.job.class, job.job.customer);
+        let answer = self.answer_not_deferred(error);
+        self.metrics.ended(class, customer, answer.kind());
+        self.forget(id);
+        Err(JobNotAccepted::Answered(answer))
     }
 
-    /// What a client is told whose job is not held.
-    fn turned(&self, turned: DeferralError) -> Answer {
-        match turned {
-            DeferralError::Full { retry_after } => Answer::Rejected { retry_after: self.advice(retry_after) },
+    /// The final answer of a job that cannot be deferred.
+    fn answer_not_deferred(&self, error: DeferralError) -> Answer {
+        match error {
+            DeferralError::Full { retry_after } => {
+                Answer::Rejected { retry_after: self.permitted_retry_after(retry_after) }
+            }
             DeferralError::Doomed => Answer::Failed(Failure::DependencyFailed),
             DeferralError::Circle => Answer::Failed(Failure::DependencyCycle),
             DeferralError::TooLate => Answer::Failed(Failure::StartAfterDeadline),
         }
     }
 
-    /// When to come back, as far as the settings allow to say.
-    pub(super) fn advice(&self, retry_after: Millis) -> Millis {
-        let set = &self.site.settings;
-        if set.sends_retry_after {
-            retry_after.min(set.max_retry_after as f64 / 1e3)
+    /// The advice when to retry, as far as the settings permit it; 0 is none.
+    pub(super) fn permitted_retry_after(&self, retry_after: Millis) -> Millis {
+        let settings = &self.site.settings;
+        if settings.sends_retry_after {
+            retry_after.min(millis_from_micros(settings.max_retry_after))
         } else {
             0.0
         }
     }
 
-    pub(super) fn forget(&mut self, id: JobId) -> Option<Request> {
-        let r = self.requests.remove(&id)?;
-        self.by_trace_id.remove(&r.trace_id);
-        Some(r)
+    /// Removes a job from those under way.
+    pub(super) fn forget(&mut self, id: JobId) -> Option<OpenJob> {
+        let job = self.jobs.remove(&id)?;
+        self.by_trace_id.remove(&job.trace_id);
+        Some(job)
+    }
+
+    /// Adds a job to those under way, with a new id.
+    fn open(&mut self, client: ConnectionId, job: Job, now: Millis) -> JobId {
+        let id = self.unused_id();
+        let deadline = (now + job.wait).min(self.shutdown_deadline);
+        let job = OpenJob::new(client, job, deadline);
+        self.timers.set(job.answer_due(), Timer::AnswerDue(id));
+        self.by_trace_id.insert(job.trace_id.clone(), id);
+        self.jobs.insert(id, job);
+        id
     }
 
-    /// Keeps a job under a number of its own.
-    fn enter(&mut self, client: ConnectionId, job: Job, now: Millis) -> JobId {
-        let (trace_id, deadline) = (Rc::<str>::from(job.trace_id.as_str()), (now + job.wait).min(self.ends));
-        self.last_id = self.last_id.wrapping_add(1);
-        while self.requests.contains_key(&JobId(self.last_id)) {
+    fn unused_id(&mut self) -> JobId {
+        loop {
             self.last_id = self.last_id.wrapping_add(1);
+            let id = JobId(self.last_id);
+            if !self.jobs.contains_key(&id) {
+                return id;
+            }
         }
-        let id = JobId(self.last_id);
-        self.timers.set(deadline + OVERDUE, Due::Deadline(id));
-        self.by_trace_id.insert(trace_id.clone(), id);
-        let attempts = Vec::new();
-        let (answered, held, rejected) = (false, false, false);
-        self.requests
-            .insert(id, Request { client, trace_id, job, deadline, answered, held, rejected, attempts });
-        id
     }
 
-    /// A job comes over from another process of this scheduler with the attempts made there, or with its place in the
-    /// waiting room.
+    /// A job moves here from another process of this scheduler, with the attempts that were made there or as a
+    /// deferred job.
     ///
     /// # Errors
-    /// Why it is not taken; its client is to be told.
+    /// Why the job is not accepted; its client has to get an answer for it.
     pub fn adopt_job(
         &mut self,
         client: ConnectionId,
         job: Job,
         attempts: Vec<(WorkerId, MigratedAttempt)>,
-        held: Option<MigratedDeferral>,
+        deferral: Option<MigratedDeferral>,
         now: Millis,
     ) -> Result<JobId, JobNotAccepted> {
         if self.has_job(&job.trace_id) {
             return Err(JobNotAccepted::DuplicateId);
         }
-        let id = self.enter(client, job, now);
-        let Some(r) = self.requests.get_mut(&id) else { return Ok(id) };
-        if let Some(held) = held {
-            r.held = self.waiting.adopt(id, client.number(), &r.job, r.deadline, held, now);
-            if r.held {
-                return Ok(id);
-            }
-            // There is no room here, as the setup of this process has none, or it ends.
-            self.forget(id);
-            return Err(JobNotAccepted::Answered(Answer::Rejected { retry_after: 0.0 }));
+        let id = self.open(client, job, now);
+        match deferral {
+            Some(deferral) => self.adopt_deferred(id, deferral, now)?,
+            None => self.adopt_dispatched(id, &attempts, now),
         }
-        self.waiting.opened(&r.trace_id);
+        Ok(id)
+    }
+
+    fn adopt_deferred(
+        &mut self,
+        id: JobId,
+        deferral: MigratedDeferral,
+        now: Millis,
+    ) -> Result<(), JobNotAccepted> {
+        let Some(job) = self.jobs.get_mut(&id) else { return Ok(()) };
+        if self.deferred.adopt(id, job.client.number(), &job.job, job.deadline, deferral, now) {
+            job.phase = JobPhase::Deferred;
+            return Ok(());
+        }
+        // This process has another setup or shuts down.
+        self.forget(id);
+        Err(JobNotAccepted::Answered(Answer::Rejected { retry_after: 0.0 }))
+    }
+
+    fn adopt_dispatched(&mut self, id: JobId, attempts: &[(WorkerId, MigratedAttempt)], now: Millis) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        self.deferred.opened(&job.trace_id);
         let mut prior_attempts = Vec::new();
-        for (n, (worker, attempt)) in attempts.into_iter().enumerate() {
-            let (name, sent, out, ran) =
-                (attempt.worker.into(), now - attempt.age, attempt.pending, attempt.may_have_run);
-            prior_attempts.push(PriorAttempt {
-                worker,
-                age: micros_from_millis(attempt.age),
-                pending: out,
-                may_have_run: ran,
-            });
-            let until = r.deadline;
-            r.attempts.push(Attempt { worker, name, sent, until, taken: true, out, ran });
-            self.timers.set(r.deadline, Due::Attempt(id, AttemptId(n as u8)));
+        for (index, (worker, attempt)) in attempts.iter().enumerate() {
+            let attempt_id = AttemptId(index as u8);
+            prior_attempts.push(prior_attempt(*worker, attempt));
+            job.attempts.push(Attempt::from_migrated(*worker, attempt, job.deadline, now));
+            self.timers.set(job.deadline, Timer::AttemptDeadline(id, attempt_id));
         }
-        self.events.push(Event::JobAdopted { job: r.told(id), attempts: prior_attempts });
-        Ok(id)
+        self.events.push(Event::JobAdopted { job: job.for_decision(id), attempts: prior_attempts });
     }
 
-    /// A job in the form in which another process can go on with it; `None` where an attempt is still on its way to
-    /// its worker, or the job has its answer.
+    /// A job in the form in which another process continues with it; `None` if it cannot move, as an attempt is still
+    /// on its way to its worker or the job has its answer.
     pub fn migrated_job(&self, id: JobId, now: Millis) -> Option<MigratedJob> {
-        let r =
-            self.requests.get(&id).filter(|r| !r.answered && r.attempts.iter().all(|l| !l.out || l.taken))?;
-        let attempt = |l: &Attempt| MigratedAttempt {
-            worker: l.name.to_string(),
-            age: now - l.sent,
-            pending: l.out,
-            may_have_run: l.ran,
-        };
-        let (attempts, deferral) = (r.attempts.iter().map(attempt).collect(), self.waiting.parcel(id, now));
-        Some(MigratedJob {
-            request: r.job.payload.request(r.deadline - now),
-            closes_connection: false,
-            attempts,
-            deferral,
-        })
+        let job = self.jobs.get(&id).filter(|job| job.can_migrate())?;
+        Some(job.migrated(self.deferred.parcel(id, now), now))
     }
 
-    /// Another process has a job now. The module here may go on with it in vain: nothing is done for a job that is
-    /// not here.
+    /// Another process has a job now. What the decision module still wants for it here has no effect.
     pub fn release_migrated(&mut self, id: JobId) {
-        if let Some(r) = self.forget(id) {
-            self.waiting.moved(&r.trace_id);
+        if let Some(job) = self.forget(id) {
+            self.deferred.moved(&job.trace_id);
         }
     }
 
-    /// A client has gone away.
+    /// The client of a job has disconnected.
     pub fn client_disconnected(&mut self, id: JobId, now: Millis) {
-        let Some(r) = self.requests.get_mut(&id).filter(|r| !r.answered) else { return };
-        r.answered = true;
-        self.metrics.left += 1;
-        if !r.held {
-            self.events.push(Event::ClientDisconnected(id));
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        match job.phase {
+            JobPhase::Answered => return,
+            JobPhase::Deferred => {}
+            JobPhase::Dispatched => self.events.push(Event::ClientDisconnected(id)),
         }
-        self.doubtful.push(id);
-        let trace_id = r.trace_id.clone();
-        self.has_ended(trace_id, JobEndStatus::Disconnected, now);
+        job.phase = JobPhase::Answered;
+        self.metrics.left += 1;
+        self.to_review.push(id);
+        let trace_id = job.trace_id.clone();
+        self.publish_job_end(trace_id, JobEndStatus::Disconnected, now);
     }
 }
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -1,210 +1,274 @@
-//! Attempts: sent, heard of, given up and settled; probes.
+//! Attempts: how they start, what workers report about them, and how they end; and health checks.
 
-use super::*;
+use super::open_job::{Attempt, AttemptState};
+use super::{Command, Dispatch, Timer};
+use crate::answer::Answer;
+use crate::clock::{millis_from_micros, Millis};
+use crate::endpoint_list::EndpointList;
+use crate::http::{Message, StatusLine};
+use crate::invariant::{holds, Invariant};
+use crate::job_status::{report_from_text, JobStatus, JobStatusUpdate};
+use crate::upstream::End;
+use crate::worker_protocol::{LOAD_REPORT_HEADER, NEVER_RAN_HEADER};
+use postusher_decision::{
+    AttemptContext, AttemptId, AttemptOutcome, AttemptResult, Event, JobId, Micros, WorkerId,
+};
+use postusher_settings::micros_from_millis;
+
+/// The status of a worker that has accepted an attempt.
+const ACCEPTED: u16 = 202;
+/// The status of a worker in good health.
+const HEALTHY: u16 = 200;
 
 impl Dispatch {
-    /// A worker's update. What is late, repeated or of no job here changes nothing.
+    /// A worker has sent a job status update. One that is late or repeated, or for a job that is not here, changes
+    /// nothing.
     pub fn job_status(&mut self, update: JobStatusUpdate, now: Millis) {
         let Some(id) = self.by_trace_id.get(update.trace_id.as_str()).copied() else { return };
-        let Some(r) = self.requests.get_mut(&id) else { return };
-        let from = |l: &Attempt| *l.name == *update.from;
-        let out = r.attempts.iter_mut().enumerate().rfind(|(_, l)| l.out && from(l));
-        let Some((attempt, l)) = out else {
-            // Guards against: a result thrown away since word of its attempt had been lost on the way.
-            let State::Done(result) = update.state else { return };
-            if !r.answered && r.attempts.iter().any(from) {
-                self.answer(id, Answer::Served(result), now);
-                self.events.push(Event::ClientDisconnected(id));
-            }
-            return;
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let answered = job.is_answered();
+        let Some((attempt_id, attempt)) = job.pending_attempt_at(&update.worker) else {
+            return self.status_of_ended_attempt(id, update, now);
         };
-        let attempt = AttemptId(attempt as u8);
-        match update.state {
-            State::Started => {
-                l.taken = true;
-                self.events.push(Event::JobStarted { job: id, attempt });
+        let result = match update.status {
+            JobStatus::Started => {
+                attempt.state = AttemptState::Accepted;
+                self.events.push(Event::JobStarted { job: id, attempt: attempt_id });
+                return;
             }
-            State::Running(done) => {
-                l.taken = true;
-                self.events.push(Event::JobProgressed { job: id, attempt, done });
+            JobStatus::Running(done) => {
+                attempt.state = AttemptState::Accepted;
+                self.events.push(Event::JobProgressed { job: id, attempt: attempt_id, done });
+                return;
             }
-            State::Done(result) => {
-                if !r.answered {
-                    self.answer(id, Answer::Served(result), now); // the first result is the client's, at once
+            JobStatus::Done(result) => {
+                if !answered {
+                    self.answer(id, Answer::Served(result), now);
                 }
-                self.settle(id, attempt, AttemptResult::Success, update.report, now);
+                AttemptResult::Success
             }
-            State::Failed => self.settle(id, attempt, AttemptResult::Error, update.report, now),
-            State::Returned => self.settle(id, attempt, AttemptResult::Overloaded, update.report, now),
-            State::Lost => self.settle(id, attempt, AttemptResult::Reset, update.report, now),
+            JobStatus::Failed => AttemptResult::Error,
+            JobStatus::Returned => AttemptResult::Overloaded,
+            JobStatus::Lost => AttemptResult::Reset,
+        };
+        self.end_attempt(id, attempt_id, result, update.report, now);
+    }
+
+    /// A worker without a pending attempt has sent a job status update. A result is the client's all the same: the
+    /// attempt may have ended here only because its acknowledgement was lost.
+    fn status_of_ended_attempt(&mut self, id: JobId, update: JobStatusUpdate, now: Millis) {
+        let JobStatus::Done(result) = update.status else { return };
+        let Some(job) = self.jobs.get(&id) else { return };
+        if !job.is_answered() && job.was_sent_to(&update.worker) {
+            self.answer(id, Answer::Served(result), now);
+            self.events.push(Event::ClientDisconnected(id));
         }
     }
 
-    /// How sending an attempt to its worker ended.
+    /// The sending of an attempt to its worker has ended.
     pub fn attempt_sent(&mut self, id: JobId, attempt: AttemptId, end: End, now: Millis) {
-        let l = self.requests.get_mut(&id).and_then(|r| r.attempts.get_mut(attempt.index()));
-        let Some(l) = l.filter(|l| l.out) else { return };
-        let answer = match end {
-            // Its news may have come first: a break says nothing of a job that the worker has.
-            End::Broken | End::Stale { .. } if l.taken => return,
-            End::Broken => return self.settle(id, attempt, AttemptResult::Reset, Vec::new(), now),
-            End::Stale { sent: true } => {
-                return self.settle(id, attempt, AttemptResult::StaleConnection, Vec::new(), now)
-            }
-            End::Stale { sent: false } => {
-                return self.settle(id, attempt, AttemptResult::NotSent, Vec::new(), now)
-            }
-            End::NotSent => return self.settle(id, attempt, AttemptResult::ConnectFailed, Vec::new(), now),
-            End::Withheld => return self.settle(id, attempt, AttemptResult::NotSent, Vec::new(), now),
-            End::Answer(answer) => answer,
+        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(pending) = job.pending_attempt(attempt) else { return };
+        // A job status update may have come before the connection broke: the worker has the job then.
+        let accepted = pending.state == AttemptState::Accepted;
+        let result = match end {
+            End::Answer(answer) => return self.worker_answered(id, attempt, &answer, now),
+            End::Broken | End::Stale { .. } if accepted => return,
+            End::Broken => AttemptResult::Reset,
+            End::Stale { sent: true } => AttemptResult::StaleConnection,
+            End::Stale { sent: false } | End::Withheld => AttemptResult::NotSent,
+            End::NotSent => AttemptResult::ConnectFailed,
         };
-        let never_ran = answer.headers.get("X-Never-Ran") == Some("1");
-        match answer.line.status {
-            202 => {
-                l.taken = true;
-                log::debug!("attempt {attempt} at {} taken after {:.1} ms", l.name, now - l.sent);
-            }
-            status => {
-                let full = matches!(status, 503 | 504) && never_ran;
-                let load = answer.headers.get("Endpoint-Load-Metrics");
-                let report = load.map_or(Vec::new(), |text| report_from_text(text, &self.site));
-                let result = match status {
-                    _ if full => AttemptResult::Overloaded,
-                    // The others of this kind speak of the moment, not of the job.
-                    400..=499 if !matches!(status, 408 | 425 | 429) => AttemptResult::Unprocessable,
-                    _ => AttemptResult::Error,
-                };
-                self.settle(id, attempt, result, report, now);
-            }
+        self.end_attempt(id, attempt, result, Vec::new(), now);
+    }
+
+    /// A worker has accepted or rejected an attempt.
+    fn worker_answered(
+        &mut self,
+        id: JobId,
+        attempt_id: AttemptId,
+        answer: &Message<StatusLine>,
+        now: Millis,
+    ) {
+        let status = answer.line.status;
+        if status != ACCEPTED {
+            let never_ran = answer.headers.get(NEVER_RAN_HEADER) == Some("1");
+            let report = match answer.headers.get(LOAD_REPORT_HEADER) {
+                Some(text) => report_from_text(text, &self.site),
+                None => Vec::new(),
+            };
+            return self.end_attempt(id, attempt_id, rejection_result(status, never_ran), report, now);
         }
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let Some(attempt) = job.attempts.get_mut(attempt_id.index()) else { return };
+        attempt.state = AttemptState::Accepted;
+        log::debug!(
+            "attempt accepted: trace_id={} attempt={attempt_id} worker={} after_ms={:.1}",
+            job.trace_id,
+            attempt.worker_name,
+            now - attempt.sent_at
+        );
     }
 
-    /// How a probe ended.
+    /// A health check has ended; `None` if there was no answer in time.
     pub fn health_check_ended(&mut self, worker: WorkerId, end: Option<End>) {
-        let (result, report) = match end {
-            Some(End::Answer(m)) => {
-                let text = std::str::from_utf8(&m.body).unwrap_or("");
-                let result = if m.line.status == 200 { AttemptResult::Success } else { AttemptResult::Error };
-                (result, report_from_text(text, &self.site))
+        let mut report = Vec::new();
+        let result = match end {
+            Some(End::Answer(answer)) => {
+                let text = std::str::from_utf8(&answer.body).unwrap_or("");
+                report = report_from_text(text, &self.site);
+                if answer.line.status == HEALTHY {
+                    AttemptResult::Success
+                } else {
+                    AttemptResult::Error
+                }
             }
-            Some(End::NotSent | End::Withheld) => (AttemptResult::ConnectFailed, Vec::new()),
-            Some(End::Broken) => (AttemptResult::Reset, Vec::new()),
-            Some(End::Stale { .. }) => (AttemptResult::StaleConnection, Vec::new()),
-            None => (AttemptResult::TimedOut, Vec::new()),
+            Some(End::NotSent | End::Withheld) => AttemptResult::ConnectFailed,
+            Some(End::Broken) => AttemptResult::Reset,
+            Some(End::Stale { .. }) => AttemptResult::StaleConnection,
+            None => AttemptResult::TimedOut,
         };
         self.events.push(Event::HealthCheckEnded { worker, result, report });
     }
 
-    pub(super) fn send(
+    /// Starts an attempt. It ends at once if something in the same batch of events has made it impossible.
+    pub(super) fn start_attempt(
         &mut self,
         id: JobId,
         worker: WorkerId,
-        within: Micros,
+        timeout: Micros,
         endpoints: &EndpointList,
         now: Millis,
     ) {
-        let Some(r) = self.requests.get_mut(&id) else { return };
+        let Some(job) = self.jobs.get_mut(&id) else { return };
         let listed = endpoints.get(worker);
-        let name = listed.map_or_else(|| "".into(), |t| t.name.clone());
-        let attempt = AttemptId(r.attempts.len() as u8);
-        let until = if within == 0 { r.deadline } else { r.deadline.min(now + within as f64 / 1e3) };
-        r.attempts.push(Attempt { worker, name, sent: now, until, taken: false, out: true, ran: true });
-        let twice = r.attempts.iter().filter(|l| l.out && l.worker == worker).count() > 1;
-        // What came before in the same batch may have ended the request.
-        if r.answered || twice {
-            return self.settle(id, attempt, AttemptResult::NotSent, Vec::new(), now);
+        let attempt = AttemptId(job.attempts.len() as u8);
+        let deadline = match timeout {
+            0 => job.deadline,
+            _ => job.deadline.min(now + millis_from_micros(timeout)),
+        };
+        let superfluous = job.is_answered() || job.is_pending_at(worker);
+        job.attempts.push(Attempt {
+            worker,
+            worker_name: listed.map_or_else(|| "".into(), |listed| listed.name.clone()),
+            sent_at: now,
+            deadline,
+            state: AttemptState::Sending,
+        });
+        if superfluous {
+            return self.end_attempt(id, attempt, AttemptResult::NotSent, Vec::new(), now);
         }
-        // A worker can go, by the list, between two events of one batch.
         if listed.is_none() {
-            return self.settle(id, attempt, AttemptResult::ConnectFailed, Vec::new(), now);
+            return self.end_attempt(id, attempt, AttemptResult::ConnectFailed, Vec::new(), now);
         }
-        self.timers.set(until, Due::Attempt(id, attempt));
+        self.timers.set(deadline, Timer::AttemptDeadline(id, attempt));
         self.commands.push(Command::StartAttempt { job: id, attempt, worker });
     }
 
-    /// What a worker is sent for an attempt that begins now, over a connection that leads to its address or not; `None` if it
-    /// is not to begin: the module's rules on sending say so ([`Dispatcher::check_send`]).
+    /// The request of an attempt whose connection is up; `None` if [`postusher_decision::Dispatcher::check_send`]
+    /// forbids to send it, which is logged and counted. `address_current`: the connection leads to the worker's
+    /// address on the endpoint list.
     pub fn begin_attempt(
         &mut self,
         id: JobId,
-        attempt: AttemptId,
-        at_its_address: bool,
+        attempt_id: AttemptId,
+        address_current: bool,
         now: Millis,
     ) -> Option<Vec<u8>> {
-        let r = self.requests.get(&id)?;
-        let l = r.attempts.get(attempt.index())?;
-        let left = micros_from_millis((l.until - now).max(0.0));
-        let begin = AttemptContext {
-            worker: l.worker,
-            job_open: !r.answered,
-            attempt_pending: l.out,
-            time_left: left,
-            address_current: at_its_address,
+        let job = self.jobs.get(&id)?;
+        let attempt = job.attempts.get(attempt_id.index())?;
+        let time_left = attempt.deadline - now;
+        let context = AttemptContext {
+            worker: attempt.worker,
+            job_open: !job.is_answered(),
+            attempt_pending: attempt.is_pending(),
+            time_left: micros_from_millis(time_left.max(0.0)),
+            address_current,
         };
-        if let Err(denial) = self.module.check_send(&begin, micros_from_millis(now)) {
-            log::debug!("{} attempt {attempt} at {} does not begin: {denial:?}", r.trace_id, l.name);
+        let (trace_id, worker) = (&job.trace_id, &attempt.worker_name);
+        if let Err(denial) = self.dispatcher.check_send(&context, micros_from_millis(now)) {
+            log::debug!(
+                "attempt denied: trace_id={trace_id} attempt={attempt_id} worker={worker} reason={denial:?}"
+            );
             self.metrics.denied[denial as usize] += 1;
             return None;
         }
-        log::debug!("{} attempt {attempt} at {} begins, {:.0} ms left", r.trace_id, l.name, l.until - now);
-        Some(r.job.payload.request(l.until - now))
+        log::debug!(
+            "attempt sent: trace_id={trace_id} attempt={attempt_id} worker={worker} left_ms={time_left:.0}"
+        );
+        Some(job.job.payload.request(time_left))
     }
 
-    pub(super) fn withdraw(&mut self, id: JobId, attempt: AttemptId, now: Millis) {
-        if self.give_up(id, attempt) {
-            self.settle(id, attempt, AttemptResult::Cancelled, Vec::new(), now);
-        }
+    /// Cancels an attempt, if it is pending.
+    pub(super) fn cancel_attempt(&mut self, id: JobId, attempt: AttemptId, now: Millis) {
+        self.give_up_attempt(id, attempt, AttemptResult::Cancelled, now);
     }
 
-    /// An attempt's time is over.
-    pub(super) fn expired(&mut self, id: JobId, attempt: AttemptId, now: Millis) {
-        if self.give_up(id, attempt) {
-            self.settle(id, attempt, AttemptResult::TimedOut, Vec::new(), now);
-        }
+    /// The deadline of an attempt has passed.
+    pub(super) fn attempt_timed_out(&mut self, id: JobId, attempt: AttemptId, now: Millis) {
+        self.give_up_attempt(id, attempt, AttemptResult::TimedOut, now);
     }
 
-    /// Lets go of an attempt, if it is out; says if it was.
-    fn give_up(&mut self, id: JobId, attempt: AttemptId) -> bool {
-        let Some(r) = self.requests.get(&id) else { return false };
-        let Some(l) = r.attempts.get(attempt.index()).filter(|l| l.out) else { return false };
-        if !l.taken {
-            self.commands.push(Command::AbandonAttempt(id, attempt));
-        } else if self.site.settings.cancellation_allowed {
-            self.commands.push(Command::CancelAttempt { worker: l.worker, trace_id: r.trace_id.clone() });
+    fn give_up_attempt(&mut self, id: JobId, attempt_id: AttemptId, result: AttemptResult, now: Millis) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let Some(attempt) = job.pending_attempt(attempt_id) else { return };
+        match attempt.state {
+            AttemptState::Sending => self.commands.push(Command::AbandonAttempt(id, attempt_id)),
+            AttemptState::Accepted if self.site.settings.cancellation_allowed => {
+                let (worker, trace_id) = (attempt.worker, job.trace_id.clone());
+                self.commands.push(Command::CancelAttempt { worker, trace_id });
+            }
+            AttemptState::Accepted | AttemptState::Ended { .. } => {}
         }
-        true
+        self.end_attempt(id, attempt_id, result, Vec::new(), now);
     }
 
-    /// Every attempt ends once.
-    pub(super) fn settle(
+    /// Ends an attempt, which happens once to each. `report` is the load report that came with its end; it is empty
+    /// where none came.
+    fn end_attempt(
         &mut self,
-        job: JobId,
-        attempt: AttemptId,
+        id: JobId,
+        attempt_id: AttemptId,
         result: AttemptResult,
         report: Vec<f64>,
         now: Millis,
     ) {
-        let Some(r) = self.requests.get_mut(&job) else { return };
-        r.rejected = result == AttemptResult::Unprocessable;
-        let (done, attempts) = (r.answered, &mut r.attempts);
-        let Some(l) = attempts.get_mut(attempt.index()) else { return };
-        if holds(Invariant::SettledOnce, l.out) {
-            l.out = false;
-            l.ran = self.site.settings.may_have_run(result);
-            let latency = micros_from_millis(now - l.sent);
-            if result != AttemptResult::Success {
-                let (name, ms) = (&l.name, now - l.sent);
-                log::debug!("{} attempt {attempt} at {name} after {ms:.0} ms: {result:?}", r.trace_id);
-            }
-            self.events.push(Event::AttemptEnded(AttemptOutcome {
-                job,
-                attempt,
-                result,
-                latency,
-                job_answered: done,
-                report,
-            }));
-            self.doubtful.push(job);
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        job.last_unprocessable = result == AttemptResult::Unprocessable;
+        let job_answered = job.is_answered();
+        let Some(attempt) = job.attempts.get_mut(attempt_id.index()) else { return };
+        if !holds(Invariant::AttemptEndedOnce, attempt.is_pending()) {
+            return;
+        }
+        attempt.state = AttemptState::Ended { may_have_run: self.site.settings.may_have_run(result) };
+        let elapsed = now - attempt.sent_at;
+        if result != AttemptResult::Success {
+            log::debug!(
+                "attempt ended: trace_id={} attempt={attempt_id} worker={} result={result:?} \
+                 after_ms={elapsed:.0}",
+                job.trace_id,
+                attempt.worker_name
+            );
         }
+        self.events.push(Event::AttemptEnded(AttemptOutcome {
+            job: id,
+            attempt: attempt_id,
+            result,
+            latency: micros_from_millis(elapsed),
+            job_answered,
+            report,
+        }));
+        self.to_review.push(id);
+    }
+}
+
+/// What the rejection of an attempt by its worker means.
+fn rejection_result(status: u16, never_ran: bool) -> AttemptResult {
+    match status {
+        503 | 504 if never_ran => AttemptResult::Overloaded,
+        // Timeout, too early and too many requests concern the moment, not the job.
+        408 | 425 | 429 => AttemptResult::Error,
+        400..=499 => AttemptResult::Unprocessable,
+        _ => AttemptResult::Error,
     }
 }
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,293 +1,268 @@
-//! Between the network and the decision module: what has happened goes in as one batch of events, the actions
-//! that come back go out as commands for the event loop. Ids, attempts and timers are kept here; there are no
-//! sockets, and no decisions.
+//! Between the network and the decision module: what has happened goes in as one batch of events, and the actions that
+//! come back go out as commands for the event loop. Job ids, attempts and timers are kept here; sockets and decisions
+//! are not.
 
 mod answers;
 mod arrivals;
 mod attempts;
+mod open_job;
 
-use crate::answer::{Answer, Failure};
-use crate::clock::{Millis, Timers};
+use crate::answer::Answer;
+use crate::clock::{earliest, Millis, Timers};
 use crate::connection_id::ConnectionId;
-use crate::deferral::{DeferralError, DeferredJobs};
+use crate::deferral::DeferredJobs;
 use crate::endpoint_list::EndpointList;
-use crate::intake::{self, Job};
-use crate::invariant::{holds, Invariant};
-use crate::job_status::{report_from_text, JobStatusUpdate, State};
 use crate::metrics::Metrics;
-use crate::upgrade_protocol::{MigratedAttempt, MigratedDeferral, MigratedJob};
-use crate::upstream::End;
-use postusher_decision::{
-    Action, AttemptContext, AttemptId, AttemptOutcome, AttemptResult, Dispatcher, Endpoint, Event, JobId,
-    LearnedState, ListUpdate, Micros, PriorAttempt, WorkerId,
-};
-use postusher_deferred_jobs::{Decision, JobEndStatus, Limits};
+use open_job::OpenJob;
+use postusher_decision::{AttemptId, Dispatcher, Endpoint, Event, JobId, LearnedState, ListUpdate, WorkerId};
+use postusher_deferred_jobs::{JobEndStatus, Limits};
 use postusher_settings::{micros_from_millis, SiteSettings};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A request that is still unanswered so long after its deadline was forgotten by the module.
-const OVERDUE: Millis = 20.0;
-
 /// What the event loop is to do.
 #[derive(Debug, PartialEq)]
 pub enum Command {
-    /// Give a client its answer.
+    /// Send a client its final answer.
     Answer(ConnectionId, Answer),
-    /// Make an attempt at a worker; [`Dispatch::request`] has what it is sent once its connection is up.
-    StartAttempt { job: JobId, attempt: AttemptId, worker: WorkerId },
-    /// Give up an attempt that no worker has taken yet.
+    /// Make an attempt at a worker; [`Dispatch::begin_attempt`] has what it is sent once its connection is up.
+    StartAttempt {
+        /// The job.
+        job: JobId,
+        /// Which of its attempts.
+        attempt: AttemptId,
+        /// The worker.
+        worker: WorkerId,
+    },
+    /// Give up an attempt that its worker has not acknowledged.
     AbandonAttempt(JobId, AttemptId),
-    /// Tell a worker that a job it has taken is given up.
-    CancelAttempt { worker: WorkerId, trace_id: Rc<str> },
-    /// Look at a worker's load.
+    /// Cancel an attempt that its worker has acknowledged.
+    CancelAttempt {
+        /// The worker.
+        worker: WorkerId,
+        /// The client's id for the job.
+        trace_id: Rc<str>,
+    },
+    /// Make a health check of a worker.
     CheckHealth(WorkerId),
-    /// A job has ended so; told only where jobs wait for others.
+    /// Tell the other process of an upgrade how a job ended; only where jobs can be deferred.
     PublishJobEnd(Rc<str>, JobEndStatus),
-    /// A client's id may come again.
+    /// Tell the other process of an upgrade that a trace id may be used again.
     ReleaseJobId(Rc<str>),
-    /// Keep a watch on the list.
+    /// Watch the endpoint list.
     WatchEndpoints,
     /// Close the idle connections to a worker.
     CloseIdleConnections(WorkerId),
 }
 
-struct Request {
-    client: ConnectionId,
-    trace_id: Rc<str>,
-    job: Job,
-    deadline: Millis,
-    answered: bool,
-    /// It is in the waiting room, and the module has not heard of it.
-    held: bool,
-    /// The last attempt that ended was turned away as nothing that can be run.
-    rejected: bool,
-    attempts: Vec<Attempt>,
-}
-
-impl Request {
-    /// What the module is told of it.
-    fn told(&self, id: JobId) -> postusher_decision::Job {
-        let (job, deadline) = (&self.job, micros_from_millis(self.deadline));
-        let intake::Job { class, size_hint, slots, key, customer, .. } = *job;
-        postusher_decision::Job { id, class, deadline, size_hint, slots, key, customer }
-    }
-}
-
-struct Attempt {
-    worker: WorkerId,
-    name: Rc<str>,
-    sent: Millis,
-    /// When it is given up.
-    until: Millis,
-    /// The worker has said that it has the job.
-    taken: bool,
-    out: bool,
-    /// It may have run.
-    ran: bool,
-}
-
-enum Due {
-    Module(u64),
-    Attempt(JobId, AttemptId),
-    Deadline(JobId),
-}
-
-/// Why a job is not taken.
+/// Why a job is not accepted.
 #[derive(Debug, PartialEq)]
 pub enum JobNotAccepted {
-    /// Another job under way has its id.
+    /// Another job under way has its trace id.
     DuplicateId,
-    /// It has had its final answer.
+    /// It gets this final answer at once.
     Answered(Answer),
 }
 
-/// The module with all that it is told and all that it wants.
+/// What happens when a timer expires.
+enum Timer {
+    /// The decision module gets its timer back.
+    Decision(u64),
+    /// An attempt has had no result in time.
+    AttemptDeadline(JobId, AttemptId),
+    /// A job must have its final answer.
+    AnswerDue(JobId),
+}
+
+/// The decision module with its input, its output and the jobs under way.
 pub struct Dispatch {
-    module: Dispatcher,
-    waiting: DeferredJobs,
+    dispatcher: Dispatcher,
+    deferred: DeferredJobs,
     site: Rc<SiteSettings>,
+    /// What the decision module has not been told yet.
     events: Vec<Event>,
+    /// What the event loop has not been told yet.
     commands: Vec<Command>,
-    timers: Timers<Due>,
-    requests: HashMap<JobId, Request>,
+    timers: Timers<Timer>,
+    jobs: HashMap<JobId, OpenJob>,
     by_trace_id: HashMap<Rc<str>, JobId>,
-    /// Requests that may be over, or late, looked at once the module has had its say.
-    doubtful: Vec<JobId>,
+    /// Jobs that may be over or overdue, reviewed once the decision module has had all events.
+    to_review: Vec<JobId>,
     last_id: u32,
-    /// By when jobs must have their answers, whatever their clients' patience: the scheduler ends.
-    ends: Millis,
-    /// What happened so far.
+    /// When jobs must have their answers, whatever their deadlines; infinite before the shutdown.
+    shutdown_deadline: Millis,
+    /// What was counted so far.
     pub metrics: Metrics,
 }
 
 impl Dispatch {
-    /// A module that knows nothing yet.
+    /// A decision module without jobs, endpoints or learned state.
     pub fn new(site: Rc<SiteSettings>, seed: u64, now: Millis) -> Self {
         let metrics = Metrics::new(&site.classes, &site.customers);
+        let dispatcher = Dispatcher::new(site.settings.clone(), seed, micros_from_millis(now));
         Dispatch {
-            module: Dispatcher::new(site.settings.clone(), seed, micros_from_millis(now))
-                .with_unconfirmed_list(),
-            waiting: DeferredJobs::default(),
+            dispatcher: dispatcher.with_unconfirmed_list(),
+            deferred: DeferredJobs::default(),
             site,
             events: Vec::new(),
             commands: Vec::new(),
             timers: Timers::new(),
-            requests: HashMap::new(),
+            jobs: HashMap::new(),
             by_trace_id: HashMap::new(),
-            doubtful: Vec::new(),
+            to_review: Vec::new(),
             last_id: 0,
-            ends: f64::INFINITY,
+            shutdown_deadline: f64::INFINITY,
             metrics,
         }
     }
 
-    /// Lets jobs wait, within these bounds.
-    pub fn with_deferral(self, limits: Option<Limits>) -> Self {
-        Dispatch { waiting: DeferredJobs::new(limits), ..self }
+    /// Allows deferred jobs, within these limits; without limits there are none.
+    pub fn with_deferral(mut self, limits: Option<Limits>) -> Self {
+        self.deferred = DeferredJobs::new(limits);
+        self
     }
 
-    /// The waiting room.
+    /// The deferred jobs.
     pub fn deferred_jobs(&self) -> &DeferredJobs {
-        &self.waiting
+        &self.deferred
     }
 
-    /// Other bounds for the waiting room, if there is one.
+    /// Sets other limits for deferred jobs, if there can be any.
     pub fn set_deferral_limits(&mut self, limits: Limits) {
-        self.waiting.set(limits);
+        self.deferred.set(limits);
     }
 
-    /// A job has come to the other process of an upgrade; jobs here may wait for it.
+    /// The other process of an upgrade has accepted a job; deferred jobs here may depend on it.
     pub fn job_started_elsewhere(&mut self, trace_id: &str) {
-        self.waiting.opened(trace_id);
+        self.deferred.opened(trace_id);
     }
 
-    /// And has ended there so.
-    pub fn job_ended_elsewhere(&mut self, trace_id: &str, how: JobEndStatus, now: Millis) {
-        self.waiting.ended(trace_id, how, now);
+    /// A job of the other process of an upgrade has ended.
+    pub fn job_ended_elsewhere(&mut self, trace_id: &str, status: JobEndStatus, now: Millis) {
+        self.deferred.ended(trace_id, status, now);
     }
 
-    /// The scheduler ends: what is held is refused at once.
+    /// Rejects all deferred jobs, as the scheduler shuts down.
     pub fn close_deferral(&mut self) {
-        self.waiting.close();
+        self.deferred.close();
     }
 
-    /// An update of the endpoint list.
+    /// The endpoint list was updated.
     pub fn endpoint_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         self.events.push(Event::EndpointList { update, endpoints });
     }
 
-    /// Whether jobs may go by the list held.
+    /// Whether jobs may be sent by the endpoint list that is held.
     pub fn is_list_current(&self, now: Millis) -> bool {
-        self.module.is_list_current(micros_from_millis(now))
+        self.dispatcher.is_list_current(micros_from_millis(now))
     }
 
-    /// The list is kept elsewhere from now on.
+    /// Discovery has another address from now on.
     pub fn discovery_moved(&mut self) {
         self.events.push(Event::DiscoveryMoved);
     }
 
-    /// An operator has taken a worker out.
+    /// An operator has disabled a worker.
     pub fn worker_disabled(&mut self, worker: WorkerId) {
         self.events.push(Event::WorkerDisabled(worker));
     }
 
-    /// An operator has taken a worker back.
+    /// An operator has enabled a worker.
     pub fn worker_enabled(&mut self, worker: WorkerId) {
         self.events.push(Event::WorkerEnabled(worker));
     }
 
-    /// The scheduler ends: jobs that come from now on must have their answers by then. Guards against: a job
-    /// taken on the way out that the end of the process leaves without an answer.
+    /// Limits the deadlines of the jobs that arrive from now on to the end of the shutdown, as the process does not
+    /// outlive it.
     pub fn set_shutdown_deadline(&mut self, at: Millis) {
-        self.ends = at;
+        self.shutdown_deadline = at;
     }
 
-    /// Jobs of each customer that were sent over its share.
+    /// The number of jobs of each customer that were sent over its quota.
     pub fn over_quota(&self) -> Vec<u64> {
-        self.module.over_quota().collect()
+        self.dispatcher.over_quota().collect()
     }
 
-    /// What the module has learned.
+    /// What the decision module has learned.
     pub fn learned_state(&self) -> LearnedState {
-        self.module.learned_state()
+        self.dispatcher.learned_state()
     }
 
-    /// What another process's module has learned.
-    pub fn learned(&mut self, memory: LearnedState) {
-        self.events.push(Event::Learned(memory));
+    /// Takes over what another process's decision module has learned.
+    pub fn learned(&mut self, state: LearnedState) {
+        self.events.push(Event::Learned(state));
     }
 
-    /// Whether a job under this id is under way.
-    pub fn has_job(&self, trace: &str) -> bool {
-        self.by_trace_id.contains_key(trace)
+    /// Whether a job with this trace id is under way.
+    pub fn has_job(&self, trace_id: &str) -> bool {
+        self.by_trace_id.contains_key(trace_id)
     }
 
-    /// The client's id for a job.
+    /// The trace id of a job; `None` if it is not under way.
     pub fn trace_id(&self, id: JobId) -> Option<Rc<str>> {
-        self.requests.get(&id).map(|r| r.trace_id.clone())
+        self.jobs.get(&id).map(|job| job.trace_id.clone())
     }
 
-    /// The ids of the jobs under way.
+    /// The trace ids of the jobs under way.
     pub fn open_trace_ids(&self) -> impl Iterator<Item = &str> + '_ {
-        self.by_trace_id.keys().map(|trace| &**trace)
+        self.by_trace_id.keys().map(|trace_id| &**trace_id)
     }
 
-    /// Lets all timers come due that are.
+    /// Handles all timers that have expired.
     pub fn run_timers(&mut self, now: Millis) {
-        while let Some(due) = self.timers.due(now) {
-            match due {
-                Due::Module(cookie) => self.events.push(Event::TimerExpired(cookie)),
-                Due::Attempt(id, attempt) => self.expired(id, attempt, now),
-                Due::Deadline(id) => self.doubtful.push(id),
+        while let Some(timer) = self.timers.due(now) {
+            match timer {
+                Timer::Decision(timer) => self.events.push(Event::TimerExpired(timer)),
+                Timer::AttemptDeadline(job, attempt) => self.attempt_timed_out(job, attempt, now),
+                Timer::AnswerDue(job) => self.to_review.push(job),
             }
         }
     }
 
-    /// When the next timer is due.
+    /// When the next timer expires.
     pub fn next_due(&self, now: Millis) -> Option<Millis> {
-        self.timers.next().into_iter().chain(self.waiting.next_due(now)).reduce(f64::min)
+        earliest([self.timers.next(), self.deferred.next_due(now)])
     }
 
-    /// Whether the module is still owed something.
+    /// Whether there are events that the decision module has not been told.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// How many requests have no answer yet.
+    /// The number of jobs without a final answer.
     pub fn unanswered_jobs(&self) -> usize {
-        self.requests.values().filter(|r| !r.answered).count()
+        self.jobs.values().filter(|job| !job.is_answered()).count()
     }
 
-    /// Whether a worker gets nothing new, by hand or by the module's choice.
+    /// Whether a worker gets no new jobs, as an operator disabled it or the decision module avoids it.
     pub fn avoids(&self, worker: WorkerId) -> bool {
-        self.module.avoids(worker)
+        self.dispatcher.avoids(worker)
     }
 
-    /// How many requests are kept in mind.
+    /// The number of jobs under way.
     #[cfg(test)]
     pub fn open_jobs(&self) -> usize {
-        self.requests.len()
+        self.jobs.len()
     }
 
-    /// Hands the module all that was gathered and turns what it wants into commands.
+    /// Hands the decision module all gathered events and returns what the event loop is to do.
     pub fn decide(&mut self, endpoints: &EndpointList, now: Millis) -> Vec<Command> {
-        self.tell_module(endpoints, now);
-        // After those at the door: what has waited gets the room that they leave.
-        if self.let_go(now) {
-            self.tell_module(endpoints, now);
+        self.run_dispatcher(endpoints, now);
+        // Deferred jobs come after the jobs that have just arrived: they get the capacity that those leave.
+        if self.release_deferred_jobs(now) > 0 {
+            self.run_dispatcher(endpoints, now);
         }
-        for id in std::mem::take(&mut self.doubtful) {
-            self.look_at(id, now);
+        for id in std::mem::take(&mut self.to_review) {
+            self.review(id, now);
         }
         std::mem::take(&mut self.commands)
     }
 
-    fn tell_module(&mut self, endpoints: &EndpointList, now: Millis) {
+    fn run_dispatcher(&mut self, endpoints: &EndpointList, now: Millis) {
         let mut actions = Vec::new();
-        self.module.handle_all(self.events.drain(..), micros_from_millis(now), &mut actions);
+        self.dispatcher.handle_all(self.events.drain(..), micros_from_millis(now), &mut actions);
         for action in actions {
-            self.act(action, endpoints, now);
+            self.carry_out(action, endpoints, now);
         }
     }
 }
--- /dev/null
+++ b/crates/node/src/dispatch/open_job.rs
@@ -0,0 +1,191 @@
+//! A job that is under way, and its attempts.
+
+use crate::clock::Millis;
+use crate::connection_id::ConnectionId;
+use crate::intake::Job;
+use crate::upgrade_protocol::{MigratedAttempt, MigratedDeferral, MigratedJob};
+use postusher_decision::{AttemptId, JobId, PriorAttempt, WorkerId};
+use postusher_settings::micros_from_millis;
+use std::rc::Rc;
+
+/// How far a job has come.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum JobPhase {
+    /// It is deferred, and the decision module does not know of it.
+    Deferred,
+    /// The decision module has it.
+    Dispatched,
+    /// It has its final answer, or its client has disconnected.
+    Answered,
+}
+
+/// A job that has no final answer yet, or an attempt that is still pending.
+pub(super) struct OpenJob {
+    pub client: ConnectionId,
+    pub trace_id: Rc<str>,
+    pub job: Job,
+    pub deadline: Millis,
+    pub phase: JobPhase,
+    /// The attempt that ended last was rejected as a job that cannot be run.
+    pub last_unprocessable: bool,
+    /// All attempts, in the order in which they were sent.
+    pub attempts: Vec<Attempt>,
+}
+
+impl OpenJob {
+    /// A job that the decision module gets next.
+    pub fn new(client: ConnectionId, job: Job, deadline: Millis) -> OpenJob {
+        OpenJob {
+            client,
+            trace_id: Rc::from(job.trace_id.as_str()),
+            job,
+            deadline,
+            phase: JobPhase::Dispatched,
+            last_unprocessable: false,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Whether it has its final answer, or its client has disconnected.
+    pub fn is_answered(&self) -> bool {
+        self.phase == JobPhase::Answered
+    }
+
+    /// Whether nothing can happen to it any more.
+    pub fn is_over(&self) -> bool {
+        self.is_answered() && !self.attempts.iter().any(Attempt::is_pending)
+    }
+
+    /// The job as the decision module gets it.
+    pub fn for_decision(&self, id: JobId) -> postusher_decision::Job {
+        postusher_decision::Job {
+            id,
+            class: self.job.class,
+            deadline: micros_from_millis(self.deadline),
+            size_hint: self.job.size_hint,
+            slots: self.job.slots,
+            key: self.job.key,
+            customer: self.job.customer,
+        }
+    }
+
+    /// An attempt, if it is pending.
+    pub fn pending_attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
+        self.attempts.get(attempt.index()).filter(|attempt| attempt.is_pending())
+    }
+
+    /// The latest pending attempt at a worker.
+    pub fn pending_attempt_at(&mut self, worker: &str) -> Option<(AttemptId, &mut Attempt)> {
+        let mut attempts = self.attempts.iter_mut().enumerate();
+        let (index, attempt) =
+            attempts.rfind(|(_, attempt)| attempt.is_pending() && *attempt.worker_name == *worker)?;
+        Some((AttemptId(index as u8), attempt))
+    }
+
+    /// Whether a worker had any attempt of it.
+    pub fn was_sent_to(&self, worker: &str) -> bool {
+        self.attempts.iter().any(|attempt| *attempt.worker_name == *worker)
+    }
+
+    /// Whether an attempt at a worker is pending.
+    pub fn is_pending_at(&self, worker: WorkerId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.is_pending() && attempt.worker == worker)
+    }
+
+    /// Whether another process can continue with it: no attempt is on its way to a worker, as the connection for it
+    /// belongs to this process.
+    pub fn can_migrate(&self) -> bool {
+        let on_its_way = |attempt: &Attempt| attempt.state == AttemptState::Sending;
+        !self.is_answered() && !self.attempts.iter().any(on_its_way)
+    }
+
+    /// The job in the form in which another process continues with it.
+    pub fn migrated(&self, deferral: Option<MigratedDeferral>, now: Millis) -> MigratedJob {
+        MigratedJob {
+            request: self.job.payload.request(self.deadline - now),
+            closes_connection: false,
+            attempts: self.attempts.iter().map(|attempt| attempt.migrated(now)).collect(),
+            deferral,
+        }
+    }
+}
+
+/// How far an attempt has come.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum AttemptState {
+    /// It is being sent; the worker has not acknowledged it.
+    Sending,
+    /// The worker has acknowledged it.
+    Accepted,
+    /// It has ended.
+    Ended {
+        /// The job may have run.
+        may_have_run: bool,
+    },
+}
+
+/// An attempt of a job.
+pub(super) struct Attempt {
+    pub worker: WorkerId,
+    pub worker_name: Rc<str>,
+    pub sent_at: Millis,
+    pub deadline: Millis,
+    pub state: AttemptState,
+}
+
+impl Attempt {
+    /// An attempt that another process made.
+    pub fn from_migrated(
+        worker: WorkerId,
+        migrated: &MigratedAttempt,
+        deadline: Millis,
+        now: Millis,
+    ) -> Attempt {
+        let state = if migrated.pending {
+            AttemptState::Accepted
+        } else {
+            AttemptState::Ended { may_have_run: migrated.may_have_run }
+        };
+        Attempt {
+            worker,
+            worker_name: Rc::from(migrated.worker.as_str()),
+            sent_at: now - migrated.age,
+            deadline,
+            state,
+        }
+    }
+
+    /// Whether it has not ended.
+    pub fn is_pending(&self) -> bool {
+        match self.state {
+            AttemptState::Sending | AttemptState::Accepted => true,
+            AttemptState::Ended { .. } => false,
+        }
+    }
+
+    fn may_have_run(&self) -> bool {
+        match self.state {
+            AttemptState::Sending | AttemptState::Accepted => true,
+            AttemptState::Ended { may_have_run } => may_have_run,
+        }
+    }
+
+    fn migrated(&self, now: Millis) -> MigratedAttempt {
+        MigratedAttempt {
+            worker: self.worker_name.to_string(),
+            age: now - self.sent_at,
+            pending: self.is_pending(),
+            may_have_run: self.may_have_run(),
+        }
+    }
+}
+
+/// A migrated attempt as the decision module gets it.
+pub(super) fn prior_attempt(worker: WorkerId, migrated: &MigratedAttempt) -> PriorAttempt {
+    PriorAttempt {
+        worker,
+        age: micros_from_millis(migrated.age),
+        pending: migrated.pending,
+        may_have_run: migrated.may_have_run,
+    }
+}
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The workers that discovery's list names, and what is asked of discovery next.
 
 use crate::discovery::{self, Call, Entry, List};
-use crate::intake::fnv;
+use crate::stable_hash::fnv1a;
 use postusher_decision::{Endpoint, EndpointState, ListUpdate, WorkerId};
 use postusher_settings::{micros_from_millis, SiteSettings};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -137,7 +137,7 @@
         if let Some(id) = self.numbers.get(name) {
             return *id;
         }
-        let mut id = WorkerId(fnv(name.as_bytes()) as u32);
+        let mut id = WorkerId(fnv1a(name.as_bytes()) as u32);
         while self.name(id).is_some() {
             id.0 = id.0.wrapping_add(1);
         }
--- a/crates/node/src/endpoint_list/tests.rs
+++ b/crates/node/src/endpoint_list/tests.rs
@@ -89,7 +89,7 @@
 fn colliding_names() -> (String, String) {
     let mut seen = HashMap::new();
     for name in (0..).map(|n| format!("s-{n:08x}")) {
-        if let Some(other) = seen.insert(fnv(name.as_bytes()) as u32, name.clone()) {
+        if let Some(other) = seen.insert(fnv1a(name.as_bytes()) as u32, name.clone()) {
             return (other, name);
         }
     }
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -1,134 +1,204 @@
-//! From a message of a client's protocol to a job that is neutral to it. A second protocol gets a reader of
-//! its own beside [`read`], makes the same [`Job`], and so comes under the same decisions and rules.
+//! Reads the requests of clients and workers into jobs that are neutral to their protocol. A second protocol would get
+//! a reader beside [`read`] that makes the same [`Job`], and so come under the same decisions and rules.
 
 use crate::clock::Millis;
 use crate::deferral::StartConditions;
-use crate::http::{self, Headers, Message, RequestLine};
+use crate::header_values::MICROSECOND;
+use crate::http::{self, Fault, Headers, Message, RequestLine};
+use crate::stable_hash::fnv1a;
+use crate::worker_protocol::{
+    CLASS_HEADER, CUSTOMER_HEADER, EXPIRY_HEADER, IDEMPOTENCY_KEY_HEADER, JOB_STATUS_PATH, KEY_HEADER,
+    PROPERTIES_HEADER, READINESS_PATH, SIZE_HINT_HEADER, SLOTS_PROPERTY, TRACE_ID_HEADER,
+};
 use postusher_decision::{Idempotency, Micros};
-use postusher_settings::SiteSettings;
+use postusher_settings::{micros_from_millis, NamedClass, SiteSettings};
+use thiserror::Error;
 
-/// What a scheduler has to know of a job.
+pub use crate::header_values::{duration as millis, is_trace_id as is_id};
+
+/// The number of a customer that the settings do not have: its jobs are accepted, without a quota.
+pub const UNKNOWN_CUSTOMER: u16 = u16::MAX;
+/// The most slots that a job can take; no machine has more.
+const MAX_SLOTS: u16 = 1024;
+/// Headers that a worker gets even where `Connection` names them, as it acts on them.
+const ALWAYS_PASSED_HEADERS: [&str; 6] =
+    [TRACE_ID_HEADER, CLASS_HEADER, KEY_HEADER, SIZE_HINT_HEADER, PROPERTIES_HEADER, IDEMPOTENCY_KEY_HEADER];
+/// Headers that concern one connection, and those that are written anew for each attempt.
+const NEVER_PASSED_HEADERS: [&str; 11] = [
+    "connection",
+    "keep-alive",
+    "proxy-connection",
+    "proxy-authorization",
+    "te",
+    "trailer",
+    "transfer-encoding",
+    "upgrade",
+    "expect",
+    "content-length",
+    EXPIRY_HEADER,
+];
+
+/// What a scheduler has to know about a job.
 pub struct Job {
     /// The client's id for it.
     pub trace_id: String,
-    /// Its class, by number.
+    /// Number of its class.
     pub class: u16,
-    /// Whose it is, by number; [`NOBODY`] where it does not say, or the settings don't name that customer.
+    /// Number of its customer; [`UNKNOWN_CUSTOMER`] if it names none, or one that the settings do not have.
     pub customer: u16,
-    /// What it concerns; 0 where it has no key.
+    /// The object that it concerns; 0 where it has none.
     pub key: u64,
-    /// A guess at its running time.
+    /// The client's estimate of its running time.
     pub size_hint: Option<Micros>,
     /// Slots that it takes.
     pub slots: u32,
-    /// For how long the client waits, from when it sent the job.
+    /// The time from its arrival to its deadline.
     pub wait: Millis,
-    /// What it waits for before it starts, where jobs may wait.
+    /// What it waits for before it starts; empty where jobs cannot be deferred.
     pub waits: StartConditions,
     /// What a worker is sent.
     pub payload: Payload,
 }
 
-/// What a worker is sent of a job: all of the client's message that is meant for it.
+/// The part of a client's request that is meant for the worker.
 pub struct Payload {
     line: RequestLine,
     headers: Headers,
     body: Vec<u8>,
 }
 
-/// What a message asks for.
+/// What a client or a worker requests.
 pub enum IncomingRequest {
     /// Whether the scheduler takes jobs.
     Readiness,
-    /// Nothing: it brings a worker's news, in this body.
+    /// A worker sends this job status update.
     JobStatus(Vec<u8>),
     /// A job.
     Job(Box<Job>),
-    /// Nothing that can be read or is there: the status to answer.
+    /// The request is not accepted and gets this status.
     Invalid(u16),
 }
 
-/// Where workers tell what becomes of jobs.
-const NEWS: &str = "/_jobs/news";
-const UP: &str = "/up";
-/// The number of a customer that the settings don't have: its jobs are taken, with a share of none.
-pub const NOBODY: u16 = u16::MAX;
-/// The header with a client's id for its job.
-const TRACE: &str = "X-Trace-Id";
-/// No machine has more slots than this.
-const MOST_SLOTS: u16 = 1024;
-/// Headers by which a worker goes, too.
-const OWN: [&str; 6] = [TRACE, "X-Qos", "X-Object", "X-Size-Hint", "X-Props", "Idempotency-Key"];
-const EXPIRES: &str = "X-Expires-In";
-/// Headers that concern one connection, and those written anew for each attempt.
-const NOT_PASSED: [&str; 11] = [
-    "connection",
-    "keep-alive",
-    "proxy-connection",
-    "proxy-authorization",
-    "te",
-    "trailer",
-    "transfer-encoding",
-    "upgrade",
-    "expect",
-    "content-length",
-    EXPIRES,
-];
+/// Why a request is not accepted.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
+pub enum IntakeError {
+    /// The path does not begin with a slash.
+    #[error("the path does not begin with a slash")]
+    MalformedPath,
+    /// The path or a header names a class that the settings do not have.
+    #[error("there is no such class")]
+    UnknownClass,
+    /// The path and a header name different classes.
+    #[error("the path and the header name different classes")]
+    ContradictoryClass,
+    /// The path takes other methods.
+    #[error("the path does not take this method")]
+    MethodNotAllowed,
+    /// A header that must stand once stands twice, or is not text.
+    #[error("a header stands twice or is not text")]
+    MalformedHeader(Fault),
+    /// The trace id is missing, or cannot stand in a path.
+    #[error("the trace id is missing or malformed")]
+    InvalidTraceId,
+    /// The time for the answer is not a duration with a unit.
+    #[error("the expiry is no duration with a unit")]
+    InvalidExpiry,
+    /// The estimate of the running time is not a duration.
+    #[error("the size hint is no duration")]
+    InvalidSizeHint,
+    /// A property has no value, or one that is not allowed.
+    #[error("a property has no value, or one that is not allowed")]
+    InvalidProperties,
+    /// The class requires an idempotency key.
+    #[error("the class requires an idempotency key")]
+    MissingIdempotencyKey,
+    /// The client expects something that HTTP does not have.
+    #[error("the expectation is not known")]
+    UnsupportedExpectation,
+    /// A condition for the start cannot be read.
+    #[error("a condition for the start cannot be read")]
+    InvalidStartCondition,
+}
 
-/// Reads what a client or a worker wants. `waiting`: jobs may say that they wait; else what says so means nothing and
-/// is passed on.
-pub fn read(message: Message<RequestLine>, site: &SiteSettings, waiting: bool) -> IncomingRequest {
-    let path = message.line.target.split('?').next().unwrap_or("");
-    let post = message.line.method == "POST";
-    match path {
-        UP if message.line.method == "GET" => IncomingRequest::Readiness,
-        NEWS if post => IncomingRequest::JobStatus(message.body),
-        UP | NEWS => IncomingRequest::Invalid(405),
-        _ => job(message, site, waiting)
-            .map_or_else(IncomingRequest::Invalid, |job| IncomingRequest::Job(Box::new(job))),
+impl From<Fault> for IntakeError {
+    fn from(fault: Fault) -> IntakeError {
+        IntakeError::MalformedHeader(fault)
     }
 }
 
-fn job(message: Message<RequestLine>, site: &SiteSettings, waiting: bool) -> Result<Job, u16> {
-    let Message { line, mut headers, body, .. } = message;
-    let path = line.target.split('?').next().unwrap_or("");
-    let first = path.strip_prefix('/').and_then(|p| p.split('/').next()).ok_or(400u16)?;
-    // Guards against: what a worker would refuse or take for something else. All that the scheduler or a worker
-    // goes by must be there once and be readable, or the job goes nowhere.
-    let single = |name: &str| headers.single(name).map_err(|fault| fault.0);
-    let class = site.classes.iter().position(|c| c.name == first).ok_or(404u16)?;
-    if let Some(other) = single("X-Qos")?.filter(|name| *name != first) {
-        let known = site.classes.iter().any(|c| c.name == other);
-        return Err(if known { 400 } else { 404 });
+impl IntakeError {
+    /// The HTTP status that says so.
+    pub fn status(self) -> u16 {
+        match self {
+            IntakeError::UnknownClass => 404,
+            IntakeError::MethodNotAllowed => 405,
+            IntakeError::UnsupportedExpectation => 417,
+            IntakeError::MalformedHeader(fault) => fault.0,
+            IntakeError::MalformedPath
+            | IntakeError::ContradictoryClass
+            | IntakeError::InvalidTraceId
+            | IntakeError::InvalidExpiry
+            | IntakeError::InvalidSizeHint
+            | IntakeError::InvalidProperties
+            | IntakeError::MissingIdempotencyKey
+            | IntakeError::InvalidStartCondition => 400,
+        }
     }
+}
+
+/// Reads a request of a client or a worker. `deferral_enabled`: jobs can be deferred; where they cannot, the headers for
+/// that have no meaning here and are passed on.
+pub fn read(message: Message<RequestLine>, site: &SiteSettings, deferral_enabled: bool) -> IncomingRequest {
+    let method = message.line.method.as_str();
+    let error = match path(&message.line) {
+        READINESS_PATH if method == "GET" => return IncomingRequest::Readiness,
+        JOB_STATUS_PATH if method == "POST" => return IncomingRequest::JobStatus(message.body),
+        READINESS_PATH | JOB_STATUS_PATH => IntakeError::MethodNotAllowed,
+        _ => match read_job(message, site, deferral_enabled) {
+            Ok(job) => return IncomingRequest::Job(Box::new(job)),
+            Err(error) => error,
+        },
+    };
+    IncomingRequest::Invalid(error.status())
+}
+
+/// The path of a request, without its query.
+fn path(line: &RequestLine) -> &str {
+    line.target.split('?').next().unwrap_or("")
+}
+
+/// Reads a job. All headers that this scheduler or a worker acts on must stand there once and be readable, as a worker
+/// would otherwise reject the job or take it for another.
+fn read_job(
+    message: Message<RequestLine>,
+    site: &SiteSettings,
+    deferral_enabled: bool,
+) -> Result<Job, IntakeError> {
+    let Message { line, mut headers, body, .. } = message;
+    let class = class_number(&line, &headers, site)?;
     if line.method != "POST" {
-        return Err(405);
+        return Err(IntakeError::MethodNotAllowed);
     }
-    let trace_id = single(TRACE)?.filter(|id| is_id(id)).ok_or(400u16)?.to_string();
-    let wait = match single(EXPIRES)? {
-        Some(text) => millis(text, None).ok_or(400u16)?,
-        None => site.classes[class].max_wait_ms,
+    let trace_id = trace_id(&headers)?;
+    let wait = time_to_deadline(&headers, &site.classes[class])?;
+    let size_hint = size_hint(&headers)?;
+    let slots = slots(&headers)?;
+    check_idempotency_key(&headers, &site.settings.classes[class].idempotency)?;
+    headers.single("Host")?;
+    check_expectation(&headers)?;
+    let key = key(&headers)?;
+    let customer = customer_number(&headers, site)?;
+    let waits = if deferral_enabled {
+        StartConditions::take(&mut headers).ok_or(IntakeError::InvalidStartCondition)?
+    } else {
+        StartConditions::default()
     };
-    let size_hint = single("X-Size-Hint")?.map(|text| millis(text, Some(1e-3)).ok_or(400u16)).transpose()?;
-    let slots = single("X-Props")?.map(|text| props(text).ok_or(400u16)).transpose()?.flatten();
-    let keyed = matches!(site.settings.classes[class].idempotency, Idempotency::ByKey { .. });
-    if single("Idempotency-Key")?.is_none_or(str::is_empty) && keyed || single("Host").is_err() {
-        return Err(400);
-    }
-    if headers.all("Expect").any(|v| !v.eq_ignore_ascii_case(b"100-continue")) {
-        return Err(417);
-    }
-    let (slots, key) = (slots.unwrap_or(1), single("X-Object")?.map_or(0, key));
-    let named = if site.customers.is_empty() { None } else { single("X-Customer")? };
-    let customer = named.and_then(|name| site.customers.iter().position(|c| c == name));
-    let waits =
-        if waiting { StartConditions::take(&mut headers).ok_or(400u16)? } else { StartConditions::default() };
     Ok(Job {
         trace_id,
         class: class as u16,
-        customer: customer.map_or(NOBODY, |n| n as u16),
+        customer,
         key,
-        size_hint: size_hint.map(postusher_settings::micros_from_millis),
+        size_hint,
         slots,
         wait,
         waits,
@@ -136,68 +206,125 @@
     })
 }
 
-/// Whether an id can stand in a path as it is. Guards against: an id that makes another request of a withdrawal.
-pub fn is_id(id: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b'~' | b':');
-    (1..=128).contains(&id.len()) && id.bytes().all(plain)
+/// The number of the class that the first segment of the path names.
+fn class_number(line: &RequestLine, headers: &Headers, site: &SiteSettings) -> Result<usize, IntakeError> {
+    let find = |name: &str| site.classes.iter().position(|class| class.name == name);
+    let segments = path(line).strip_prefix('/').ok_or(IntakeError::MalformedPath)?;
+    let name = segments.split('/').next().unwrap_or("");
+    let class = find(name).ok_or(IntakeError::UnknownClass)?;
+    match headers.single(CLASS_HEADER)? {
+        Some(other) if other != name => match find(other) {
+            Some(_) => Err(IntakeError::ContradictoryClass),
+            None => Err(IntakeError::UnknownClass),
+        },
+        _ => Ok(class),
+    }
 }
 
-/// A length of time with its unit, `m` for milliseconds or `u` for microseconds, or in the usual unit where there
-/// is one.
-pub fn millis(text: &str, usual: Option<Millis>) -> Option<Millis> {
-    let (number, unit) = match text.as_bytes().last()? {
-        b'm' => (&text[..text.len() - 1], 1.0),
-        b'u' => (&text[..text.len() - 1], 1e-3),
-        _ => (text, usual?),
-    };
-    let time = number.parse::<f64>().ok()? * unit;
-    // A day is longer than anyone waits.
-    (0.0..=86_400_000.0).contains(&time).then_some(time)
+fn trace_id(headers: &Headers) -> Result<String, IntakeError> {
+    match headers.single(TRACE_ID_HEADER)? {
+        Some(id) if is_id(id) => Ok(id.to_string()),
+        _ => Err(IntakeError::InvalidTraceId),
+    }
 }
 
-/// The slots of `name=value,name=value`, if they are there; `None` where any of it cannot be meant.
-fn props(text: &str) -> Option<Option<u32>> {
+/// The time within which the client wants its answer; the class's longest, if it does not say.
+fn time_to_deadline(headers: &Headers, class: &NamedClass) -> Result<Millis, IntakeError> {
+    match headers.single(EXPIRY_HEADER)? {
+        Some(text) => millis(text, None).ok_or(IntakeError::InvalidExpiry),
+        None => Ok(class.max_wait_ms),
+    }
+}
+
+fn size_hint(headers: &Headers) -> Result<Option<Micros>, IntakeError> {
+    let Some(text) = headers.single(SIZE_HINT_HEADER)? else { return Ok(None) };
+    let estimate = millis(text, Some(MICROSECOND)).ok_or(IntakeError::InvalidSizeHint)?;
+    Ok(Some(micros_from_millis(estimate)))
+}
+
+/// The slots that a job takes; 1 if it does not say.
+fn slots(headers: &Headers) -> Result<u32, IntakeError> {
+    let properties = headers.single(PROPERTIES_HEADER)?.unwrap_or("");
     let mut slots = None;
-    for prop in text.split(',').filter(|p| !p.trim().is_empty()) {
-        let (name, value) = prop.split_once('=')?;
-        let value = value.trim().parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)?;
-        if name.trim() == "slots" {
-            let whole = value >= 1.0 && value <= f64::from(MOST_SLOTS) && value.fract() == 0.0;
-            let first = slots.replace(value as u32).is_none();
-            (whole && first).then_some(())?;
+    for property in properties.split(',').filter(|property| !property.trim().is_empty()) {
+        let (name, value) = property.split_once('=').ok_or(IntakeError::InvalidProperties)?;
+        let value: f64 = value.trim().parse().map_err(|_| IntakeError::InvalidProperties)?;
+        if !value.is_finite() || value < 0.0 {
+            return Err(IntakeError::InvalidProperties);
+        }
+        if name.trim() == SLOTS_PROPERTY {
+            let is_slots = value.fract() == 0.0 && (1.0..=f64::from(MAX_SLOTS)).contains(&value);
+            if !is_slots || slots.is_some() {
+                return Err(IntakeError::InvalidProperties);
+            }
+            slots = Some(value as u32);
+        }
+    }
+    Ok(slots.unwrap_or(1))
+}
+
+fn check_idempotency_key(headers: &Headers, idempotency: &Idempotency) -> Result<(), IntakeError> {
+    let key = headers.single(IDEMPOTENCY_KEY_HEADER)?.unwrap_or("");
+    if key.is_empty() && matches!(idempotency, Idempotency::ByKey { .. }) {
+        return Err(IntakeError::MissingIdempotencyKey);
+    }
+    Ok(())
+}
+
+fn check_expectation(headers: &Headers) -> Result<(), IntakeError> {
+    for expectation in headers.all("Expect") {
+        if !expectation.eq_ignore_ascii_case(b"100-continue") {
+            return Err(IntakeError::UnsupportedExpectation);
         }
     }
-    Some(slots)
+    Ok(())
 }
 
-/// A key as a number, the same at every scheduler: what is no hexadecimal number is hashed (FNV-1a).
-fn key(text: &str) -> u64 {
-    u64::from_str_radix(text, 16).unwrap_or_else(|_| fnv(text.as_bytes()))
+/// The object that a job concerns as a number: a hexadecimal one as it is, any other text by its hash.
+fn key(headers: &Headers) -> Result<u64, IntakeError> {
+    let Some(text) = headers.single(KEY_HEADER)? else { return Ok(0) };
+    Ok(u64::from_str_radix(text, 16).unwrap_or_else(|_| fnv1a(text.as_bytes())))
 }
 
-/// A hash that is the same in every process.
-pub fn fnv(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+fn customer_number(headers: &Headers, site: &SiteSettings) -> Result<u16, IntakeError> {
+    // Without customers in the settings the header has no meaning here.
+    if site.customers.is_empty() {
+        return Ok(UNKNOWN_CUSTOMER);
+    }
+    let Some(name) = headers.single(CUSTOMER_HEADER)? else { return Ok(UNKNOWN_CUSTOMER) };
+    let number = site.customers.iter().position(|customer| customer == name);
+    Ok(number.map_or(UNKNOWN_CUSTOMER, |number| number as u16))
 }
 
 impl Payload {
-    /// The memory that it takes, as far as it grows with the message.
+    /// The memory that it takes, in bytes, as far as it grows with the request.
     pub fn size(&self) -> usize {
         let headers: usize = self.headers.0.iter().map(|(name, value)| name.len() + value.len()).sum();
         self.line.target.len() + headers + self.body.len()
     }
 
-    /// The message for a worker that is waited for so long.
-    pub fn request(&self, left: Millis) -> Vec<u8> {
-        let left = format!("{}u", (left.max(0.0) * 1e3) as u64);
-        // What `Connection` names besides is between the client and this scheduler.
-        let own = |name: &str| OWN.iter().any(|n| n.eq_ignore_ascii_case(name));
-        let hop = |name: &str| !own(name) && self.headers.names("connection", name);
-        let passed = |name: &str| !NOT_PASSED.iter().any(|n| n.eq_ignore_ascii_case(name)) && !hop(name);
-        let own = self.headers.0.iter().filter(|(n, _)| passed(n)).map(|(n, v)| (n.as_str(), v.as_slice()));
-        let headers: Vec<_> = own.chain([(EXPIRES, left.as_bytes())]).collect();
+    /// The request for a worker whose answer is wanted within this time.
+    pub fn request(&self, time_left: Millis) -> Vec<u8> {
+        let micros = (time_left.max(0.0) * 1e3) as u64;
+        let expiry = format!("{micros}u");
+        let mut headers: Vec<(&str, &[u8])> = Vec::new();
+        for (name, value) in &self.headers.0 {
+            if self.is_passed(name) {
+                headers.push((name, value));
+            }
+        }
+        headers.push((EXPIRY_HEADER, expiry.as_bytes()));
         http::request(&self.line, &headers, &self.body)
     }
+
+    /// Whether a worker gets a header of the client's request. Those that `Connection` names are for this scheduler.
+    fn is_passed(&self, name: &str) -> bool {
+        let is_in = |names: &[&str]| names.iter().any(|other| other.eq_ignore_ascii_case(name));
+        if is_in(&NEVER_PASSED_HEADERS) {
+            return false;
+        }
+        is_in(&ALWAYS_PASSED_HEADERS) || !self.headers.names("connection", name)
+    }
 }
 
 #[cfg(test)]
--- a/crates/node/src/intake/tests.rs
+++ b/crates/node/src/intake/tests.rs
@@ -38,7 +38,7 @@
     assert_eq!((of("X-Customer: zeta\r\n"), of("X-Customer: acme\r\n")), (Ok(1), Ok(0)));
     assert_eq!(
         (of("X-Customer: nobody\r\n"), of(""), of("X-Customer:\r\n")),
-        (Ok(NOBODY), Ok(NOBODY), Ok(NOBODY))
+        (Ok(UNKNOWN_CUSTOMER), Ok(UNKNOWN_CUSTOMER), Ok(UNKNOWN_CUSTOMER))
     );
     assert_eq!(of("X-Customer: zeta\r\nX-Customer: acme\r\n"), Err(400), "two names buy no second share");
 }
--- a/crates/node/src/invariant.rs
+++ b/crates/node/src/invariant.rs
@@ -10,7 +10,7 @@
     /// An attempt goes only to a worker of the list.
     TargetListed,
     /// An attempt ends once.
-    SettledOnce,
+    AttemptEndedOnce,
     /// Work is handed only to a connection that stands idle.
     ConnectionIdle,
     /// No attempt begins by a list that discovery has begun to replace, past the grace for drains.
@@ -22,7 +22,7 @@
 const ALL: [Invariant; 6] = [
     Invariant::AnsweredInTime,
     Invariant::TargetListed,
-    Invariant::SettledOnce,
+    Invariant::AttemptEndedOnce,
     Invariant::ConnectionIdle,
     Invariant::ListCurrent,
     Invariant::RoomToRead,
--- a/crates/node/src/job_status.rs
+++ b/crates/node/src/job_status.rs
@@ -1,28 +1,28 @@
-//! What workers tell of jobs, and their load reports.
+//! Job status updates and load reports of workers.
 
 use postusher_settings::SiteSettings;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// One call of a worker.
+/// A worker's message about a job.
 #[derive(Debug)]
 pub struct JobStatusUpdate {
     /// The client's id for the job.
     pub trace_id: String,
     /// The worker's name.
-    pub from: String,
+    pub worker: String,
     /// What became of the job.
-    pub state: State,
-    /// The worker's load report; empty where none came.
+    pub status: JobStatus,
+    /// The worker's load report, in the order of the settings; empty where none came.
     pub report: Vec<f64>,
 }
 
 /// What became of a job at a worker.
 #[derive(Debug, PartialEq)]
-pub enum State {
-    /// It has begun.
+pub enum JobStatus {
+    /// It has started.
     Started,
-    /// This part of it is done.
+    /// This part of it is done, from 0 to 1.
     Running(f64),
     /// It is done, with this result.
     Done(Vec<u8>),
@@ -30,17 +30,20 @@
     Failed,
     /// It was handed back and has not run.
     Returned,
-    /// It was killed or its process died.
+    /// It was killed, or its process died.
     Lost,
 }
 
+/// The form of a job status update.
 #[derive(Deserialize)]
-struct Call {
-    id: String,
-    from: String,
+struct UpdateForm {
+    #[serde(rename = "id")]
+    trace_id: String,
+    #[serde(rename = "from")]
+    worker: String,
     state: String,
-    #[serde(default)]
-    share: f64,
+    #[serde(rename = "share", default)]
+    done: f64,
     #[serde(default)]
     result: Value,
     #[serde(default)]
@@ -48,39 +51,49 @@
 }
 
 impl JobStatusUpdate {
-    /// Reads a call's body; `None` where it is malformed.
+    /// Reads the body of a worker's message; `None` where it is malformed.
     pub fn read(body: &[u8], site: &SiteSettings) -> Option<JobStatusUpdate> {
-        let call: Call = serde_json::from_slice(body).ok()?;
-        let state = match call.state.as_str() {
-            "started" => State::Started,
-            "running" => State::Running(call.share),
-            "done" => State::Done(match call.result {
-                Value::String(text) => text.into_bytes(),
-                Value::Null => Vec::new(),
-                other => other.to_string().into_bytes(),
-            }),
-            "failed" => State::Failed,
-            "returned" => State::Returned,
-            "lost" => State::Lost,
+        let form: UpdateForm = serde_json::from_slice(body).ok()?;
+        let status = match form.state.as_str() {
+            "started" => JobStatus::Started,
+            "running" => JobStatus::Running(form.done),
+            "done" => JobStatus::Done(result_bytes(form.result)),
+            "failed" => JobStatus::Failed,
+            "returned" => JobStatus::Returned,
+            "lost" => JobStatus::Lost,
             _ => return None,
         };
-        let report = report(site, |name| call.load.get(name)?.as_f64());
-        Some(JobStatusUpdate { trace_id: call.id, from: call.from, state, report })
+        let report = report(site, |name| form.load.get(name)?.as_f64());
+        Some(JobStatusUpdate { trace_id: form.trace_id, worker: form.worker, status, report })
+    }
+}
+
+/// The result of a job as its client gets it: a text as it is, anything else as JSON.
+fn result_bytes(result: Value) -> Vec<u8> {
+    match result {
+        Value::String(text) => text.into_bytes(),
+        Value::Null => Vec::new(),
+        other => other.to_string().into_bytes(),
     }
 }
 
-/// A report in the order of the settings; what is missing is no number. Empty where nothing is there.
+/// A load report in the order of the settings, where a missing value is not a number; empty where all are missing.
 fn report(site: &SiteSettings, value: impl Fn(&str) -> Option<f64>) -> Vec<f64> {
-    let named = |name: &String| value(name).or_else(|| value(on_sockets(name)));
-    let values: Vec<Option<f64>> = site.report_fields.iter().map(named).collect();
-    if values.iter().all(Option::is_none) {
+    let mut values = Vec::new();
+    let mut is_empty = true;
+    for name in &site.report_fields {
+        let value = value(name).or_else(|| value(name_on_sockets(name)));
+        is_empty &= value.is_none();
+        values.push(value.unwrap_or(f64::NAN));
+    }
+    if is_empty {
         return Vec::new();
     }
-    values.into_iter().map(|v| v.unwrap_or(f64::NAN)).collect()
+    values
 }
 
-/// The settings name report values as the simulator's wire does; on sockets they have these names.
-fn on_sockets(name: &str) -> &str {
+/// The settings name the values of a load report as the simulator does; workers on sockets use these names.
+fn name_on_sockets(name: &str) -> &str {
     match name {
         "tps" => "qps",
         "concurrent" => "inflight",
@@ -92,15 +105,26 @@
     }
 }
 
-/// A report from a header such as `TEXT inflight=7, queue=2` or a probe's body in the same form or as JSON.
+/// Reads a load report from a header such as `TEXT inflight=7, queue=2`, or from the body of a health check, which has
+/// the same form or is JSON.
 pub fn report_from_text(text: &str, site: &SiteSettings) -> Vec<f64> {
     if let Ok(json) = serde_json::from_str::<Value>(text) {
         return report(site, |name| json.get(name)?.as_f64());
     }
     let text = text.trim().strip_prefix("TEXT").unwrap_or(text);
-    let pairs = || text.split([',', '\n']).filter_map(|p| p.split_once('='));
-    let number = |v: &str| v.trim().parse::<f64>().ok();
-    report(site, |name| pairs().find(|(n, _)| n.trim() == name).and_then(|(_, v)| number(v)))
+    report(site, |name| value_in_text(text, name))
+}
+
+/// The value of the first pair with this name.
+fn value_in_text(text: &str, name: &str) -> Option<f64> {
+    for pair in text.split([',', '\n']) {
+        if let Some((key, value)) = pair.split_once('=') {
+            if key.trim() == name {
+                return value.trim().parse().ok();
+            }
+        }
+    }
+    None
 }
 
 #[cfg(test)]
--- a/crates/node/src/job_status/tests.rs
+++ b/crates/node/src/job_status/tests.rs
@@ -8,15 +8,15 @@
         JobStatusUpdate::read(format!(r#"{{"id":"9b","from":"s-1","state":{state}}}"#).as_bytes(), &site)
     };
     let cases = [
-        (r#""started""#, State::Started),
-        (r#""running","share":0.4"#, State::Running(0.4)),
-        (r#""done","result":"r\n1""#, State::Done(b"r\n1".to_vec())),
-        (r#""failed""#, State::Failed),
-        (r#""returned""#, State::Returned),
-        (r#""lost""#, State::Lost),
+        (r#""started""#, JobStatus::Started),
+        (r#""running","share":0.4"#, JobStatus::Running(0.4)),
+        (r#""done","result":"r\n1""#, JobStatus::Done(b"r\n1".to_vec())),
+        (r#""failed""#, JobStatus::Failed),
+        (r#""returned""#, JobStatus::Returned),
+        (r#""lost""#, JobStatus::Lost),
     ];
-    for (text, state) in cases {
-        assert_eq!(read(text).unwrap().state, state);
+    for (text, status) in cases {
+        assert_eq!(read(text).unwrap().status, status);
     }
     assert!(read(r#""odd""#).is_none() && JobStatusUpdate::read(b"[1]", &site).is_none());
     let news = read(r#""done","result":"x","load":{"qps":3.5,"x0":2}"#).unwrap();
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -17,6 +17,7 @@
 mod event_loop;
 #[cfg(test)]
 mod golden_tests;
+mod header_values;
 mod http;
 mod import;
 mod intake;
@@ -27,8 +28,10 @@
 #[cfg(test)]
 mod model;
 mod reload;
+mod stable_hash;
 mod upgrade_protocol;
 mod upstream;
+mod worker_protocol;
 
 use clap::{Args, Parser, Subcommand};
 use clock::Clock;
--- a/crates/node/src/model/requests.rs
+++ b/crates/node/src/model/requests.rs
@@ -10,7 +10,7 @@
 use crate::endpoint_list::EndpointList;
 use crate::http::{self, Decoder};
 use crate::intake::tests::job_of;
-use crate::job_status::{JobStatusUpdate, State};
+use crate::job_status::{JobStatus, JobStatusUpdate};
 use crate::upstream::End;
 use postusher_decision::{AttemptId, JobId, ListUpdate, WorkerId};
 use proptest::prelude::*;
@@ -47,11 +47,11 @@
     let from = lost.name.clone();
     day.forwarded(id, attempt, End::Broken);
     day.decide();
-    let done = || State::Done(b"r".to_vec());
+    let done = || JobStatus::Done(b"r".to_vec());
     let news = |from: &str| JobStatusUpdate {
         trace_id: "t0".into(),
-        from: from.into(),
-        state: done(),
+        worker: from.into(),
+        status: done(),
         report: Vec::new(),
     };
     day.dispatch.job_status(news("s-other"), day.now);
@@ -140,12 +140,12 @@
             },
             (6..=8, Some((id, attempt))) => {
                 let state = match which % 8 {
-                    0 => State::Failed,
-                    1 => State::Returned,
-                    2 => State::Lost,
-                    3 => State::Running(0.5),
-                    4 => State::Started,
-                    _ => State::Done(b"r".to_vec()),
+                    0 => JobStatus::Failed,
+                    1 => JobStatus::Returned,
+                    2 => JobStatus::Lost,
+                    3 => JobStatus::Running(0.5),
+                    4 => JobStatus::Started,
+                    _ => JobStatus::Done(b"r".to_vec()),
                 };
                 self.news(id, attempt, state);
             }
@@ -252,23 +252,25 @@
         self.dispatch.attempt_sent(id, attempt, end, self.now);
     }
 
-    fn news(&mut self, id: JobId, attempt: AttemptId, state: State) {
+    fn news(&mut self, id: JobId, attempt: AttemptId, status: JobStatus) {
         self.ended = Some((id, attempt));
         let a = self.attempts.get_mut(&(id, attempt)).unwrap();
-        match state {
-            State::Started | State::Running(_) => a.taken = true,
+        match status {
+            JobStatus::Started | JobStatus::Running(_) => a.taken = true,
             _ => a.out = false,
         }
         let from = a.name.clone();
-        let due = matches!(state, State::Done(_)) && !self.jobs[&self.ids[&id]].over;
+        let due = matches!(status, JobStatus::Done(_)) && !self.jobs[&self.ids[&id]].over;
         let (trace_id, report) = (format!("t{}", self.ids[&id]), vec![1.0, 1.0, 2.0]);
-        self.dispatch
-            .job_status(JobStatusUpdate { trace_id: trace_id.clone(), from, state, report }, self.now);
+        self.dispatch.job_status(
+            JobStatusUpdate { trace_id: trace_id.clone(), worker: from, status, report },
+            self.now,
+        );
         // Late, repeated and foreign news change nothing.
         let foreign = JobStatusUpdate {
             trace_id,
-            from: "s-other".into(),
-            state: State::Done(Vec::new()),
+            worker: "s-other".into(),
+            status: JobStatus::Done(Vec::new()),
             report: Vec::new(),
         };
         self.dispatch.job_status(foreign, self.now);
