--- a/crates/deferred-jobs/examples/memory.rs
+++ b/crates/deferred-jobs/examples/memory.rs
@@ -1,27 +1,42 @@
-//! Prints how much resident memory 100,000 held jobs take, their bodies left out (Linux).
+//! Prints how much resident memory 100,000 deferred jobs take, their bodies left out (Linux).
 
-use postusher_deferred_jobs::*;
+use postusher_deferred_jobs::{
+    DeferralError, DeferralQueue, DeferredJob, Dependency, JobId, Limits, StartConditions,
+};
+
+const DEFAULT_JOBS: u32 = 100_000;
 
 fn resident_kib() -> Option<u64> {
-    let text = std::fs::read_to_string("/proc/self/status").ok()?;
-    text.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().trim_end_matches(" kB").parse().ok()
+    let status = std::fs::read_to_string("/proc/self/status").ok()?;
+    let size = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    size.trim().trim_end_matches(" kB").parse().ok()
 }
 
-fn main() {
-    let n = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(100_000u32);
+fn main() -> Result<(), DeferralError> {
+    let jobs = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_JOBS);
     let before = resident_kib();
-    let mut room = Room::new(Limits { jobs: usize::MAX, per_client: usize::MAX, ..Limits::default() });
-    for id in 0..n {
-        let own = format!("{:032x}", u64::from(id) << 20);
-        room.opened(&own);
-        let wish = Wish { after: vec![After::served(&own), After::any("hub")], start: Some(f64::from(id)) };
-        let name = format!("{:032x}", (u64::from(id) << 20) + 1);
-        room.hold(Newcomer::new(JobId(id), &name, 1e9, wish), 0.0).expect("the room is without bounds");
+    let limits = Limits { max_jobs: usize::MAX, max_jobs_per_client: usize::MAX, ..Limits::default() };
+    let mut queue = DeferralQueue::new(limits);
+    for id in 0..jobs {
+        let dependency = format!("{:032x}", u64::from(id) << 20);
+        let trace_id = format!("{:032x}", (u64::from(id) << 20) + 1);
+        queue.record_start(&dependency);
+        let conditions = StartConditions {
+            dependencies: vec![Dependency::served(&dependency), Dependency::any_end("hub")],
+            not_before: Some(f64::from(id)),
+        };
+        queue.defer(DeferredJob::new(JobId(id), &trace_id, 1e9, conditions), 0.0)?;
     }
     let (Some(before), Some(after)) = (before, resident_kib()) else {
-        return println!("resident memory cannot be read here");
+        println!("resident memory cannot be read here");
+        return Ok(());
     };
-    let held = room.count(0.0).held;
-    let (mib, each) = ((after - before) as f64 / 1024.0, (after - before) as f64 * 1024.0 / f64::from(n));
-    println!("{held} jobs held, each waiting for two names and a time: {mib:.1} MiB, {each:.0} bytes each");
+    let held = queue.statistics(0.0).held;
+    let kib = (after - before) as f64;
+    let mib = kib / 1024.0;
+    let bytes_per_job = kib * 1024.0 / f64::from(jobs);
+    println!(
+        "{held} jobs held, each waiting for two names and a time: {mib:.1} MiB, {bytes_per_job:.0} bytes each"
+    );
+    Ok(())
 }
--- /dev/null
+++ b/crates/deferred-jobs/src/queue/admission.rs
@@ -0,0 +1,144 @@
+//! Admission: whether a job can be deferred, and its entry into the queue.
+
+use super::{DeferralQueue, Phase, QueuedJob};
+use crate::dependency_index::JobState;
+use crate::timers::NEVER;
+use crate::{DeferralError, DeferredJob, Dependency, JobEndStatus, JobId, Millis};
+use std::collections::BTreeSet;
+use std::rc::Rc;
+
+/// A new job's dependencies that have not ended.
+struct UnmetDependencies {
+    /// One for each trace id.
+    list: Vec<Dependency>,
+    /// At least one of them has not arrived.
+    any_unknown: bool,
+}
+
+impl UnmetDependencies {
+    /// Adds a dependency; of two on the same job the stricter counts.
+    fn add(&mut self, dependency: Dependency) {
+        match self.list.iter_mut().find(|known| known.trace_id == dependency.trace_id) {
+            Some(known) => known.any_end &= dependency.any_end,
+            None => self.list.push(dependency),
+        }
+    }
+}
+
+impl DeferralQueue {
+    /// Defers a job. One that is not deferred has ended as far as others are concerned: the jobs that wait for it get
+    /// their decisions.
+    ///
+    /// # Errors
+    /// Why it is not deferred. The host tells the client and has nothing else to do.
+    pub fn defer(&mut self, job: DeferredJob, now: Millis) -> Result<(), DeferralError> {
+        self.dependencies.forget_old_ends(&self.limits, now);
+        let trace_id = job.trace_id.clone();
+        let outcome = self.admit(job, now);
+        if outcome.is_err() {
+            self.propagate_end(trace_id, JobEndStatus::Rejected, now);
+        }
+        outcome
+    }
+
+    fn admit(&mut self, job: DeferredJob, now: Millis) -> Result<(), DeferralError> {
+        if self.closed {
+            return Err(DeferralError::Closed);
+        }
+        // A migrated job was admitted by the process before.
+        if job.migrated.is_none() {
+            self.check_limits(&job)?;
+        }
+        let unmet = self.unmet_dependencies(&job)?;
+        // A cycle can close only at a job that others wait for already.
+        if self.dependencies.has_waiters(&job.trace_id) && self.lead_to(&unmet.list, &job.trace_id) {
+            return Err(DeferralError::Cycle);
+        }
+        self.insert(job, unmet, now);
+        Ok(())
+    }
+
+    fn check_limits(&self, job: &DeferredJob) -> Result<(), DeferralError> {
+        let room = self.usage.check_room(&self.limits, job.client, job.bytes);
+        room.map_err(|limit| DeferralError::Full { limit, retry_after: self.estimate_time_to_room() })
+    }
+
+    fn unmet_dependencies(&self, job: &DeferredJob) -> Result<UnmetDependencies, DeferralError> {
+        let dependencies = &job.conditions.dependencies;
+        let mut unmet =
+            UnmetDependencies { list: Vec::with_capacity(dependencies.len()), any_unknown: false };
+        for dependency in dependencies {
+            if dependency.trace_id == job.trace_id {
+                return Err(DeferralError::Cycle);
+            }
+            match self.dependencies.state(&dependency.trace_id) {
+                JobState::Ended(status) if dependency.is_met_by(status) => continue,
+                JobState::Ended(_) => return Err(DeferralError::DependencyFailed),
+                JobState::Running | JobState::Deferred(_) => {}
+                JobState::Unknown => unmet.any_unknown = true,
+            }
+            unmet.add(dependency.clone());
+        }
+        Ok(unmet)
+    }
+
+    /// Whether any of these dependencies is a job or waits for it, directly or through others.
+    fn lead_to(&self, dependencies: &[Dependency], trace_id: &str) -> bool {
+        let mut visited: BTreeSet<JobId> = BTreeSet::new();
+        let mut to_visit: Vec<Rc<str>> = trace_ids(dependencies).collect();
+        while let Some(current) = to_visit.pop() {
+            if *current == *trace_id {
+                return true;
+            }
+            let JobState::Deferred(id) = self.dependencies.state(&current) else { continue };
+            if !visited.insert(id) {
+                continue;
+            }
+            if let Some(job) = self.jobs.get(&id) {
+                to_visit.extend(trace_ids(&job.unmet_dependencies));
+            }
+        }
+        false
+    }
+
+    fn insert(&mut self, job: DeferredJob, unmet: UnmetDependencies, now: Millis) {
+        let id = job.id;
+        let mut unmet_dependencies = unmet.list;
+        for dependency in &mut unmet_dependencies {
+            dependency.trace_id = self.dependencies.add_waiter(&dependency.trace_id, id);
+        }
+        unmet_dependencies.shrink_to_fit();
+        let is_blocked = !unmet_dependencies.is_empty();
+        let ready_for = job.migrated.and_then(|state| state.ready_for).unwrap_or(0.0);
+        let ready_at = now - ready_for;
+        let grace = job.migrated.map_or(self.limits.dependency_grace, |state| state.grace_left);
+        self.arrivals += 1;
+        self.usage.add(job.client, job.bytes);
+        let queued = QueuedJob {
+            trace_id: self.dependencies.record_deferred(&job.trace_id, id),
+            client: job.client,
+            class: job.class,
+            slots: job.slots,
+            bytes: job.bytes,
+            deadline: job.deadline,
+            not_before: job.conditions.not_before.unwrap_or(0.0),
+            unmet_dependencies,
+            grace_until: if unmet.any_unknown { now + grace } else { NEVER },
+            phase: Phase::Blocked,
+            ready_at,
+            arrival: self.arrivals,
+            rejections: 0,
+            timer_due: NEVER,
+        };
+        self.jobs.insert(id, queued);
+        if is_blocked {
+            self.reschedule(id);
+        } else {
+            self.unblock(id, ready_at, now);
+        }
+    }
+}
+
+fn trace_ids(dependencies: &[Dependency]) -> impl Iterator<Item = Rc<str>> + '_ {
+    dependencies.iter().map(|dependency| dependency.trace_id.clone())
+}
--- /dev/null
+++ b/crates/deferred-jobs/src/queue/migration.rs
@@ -0,0 +1,38 @@
+//! The move of deferred jobs to the successor process.
+
+use super::{DeferralQueue, Phase};
+use crate::dependency_index::{JobState, RememberedEnd};
+use crate::{JobId, MigratedJob, MigratedState, Millis, StartConditions};
+
+impl DeferralQueue {
+    /// What another process needs to go on deferring a job; `None` if the job is not deferred.
+    pub fn export(&self, id: JobId, now: Millis) -> Option<MigratedJob> {
+        let job = self.jobs.get(&id)?;
+        if job.phase == Phase::Released {
+            return None;
+        }
+        Some(MigratedJob {
+            conditions: StartConditions {
+                dependencies: job.unmet_dependencies.clone(),
+                not_before: (job.not_before > now).then_some(job.not_before),
+            },
+            state: MigratedState {
+                ready_for: job.phase.awaits_release().then_some(now - job.ready_at),
+                grace_left: (job.grace_until - now).clamp(0.0, self.limits.dependency_grace),
+            },
+        })
+    }
+
+    /// Another process has a job now. For the jobs that wait for it here it is still under way.
+    pub fn record_migration(&mut self, trace_id: &str) {
+        if let JobState::Deferred(id) = self.dependencies.state(trace_id) {
+            self.remove_job(id);
+            self.dependencies.record_running(&trace_id.into());
+        }
+    }
+
+    /// The ended jobs that are remembered, the oldest end first.
+    pub fn remembered_ends(&self, now: Millis) -> impl Iterator<Item = RememberedEnd> + '_ {
+        self.dependencies.remembered_ends(now)
+    }
+}
--- /dev/null
+++ b/crates/deferred-jobs/src/queue/release.rs
@@ -0,0 +1,155 @@
+//! The passage of time and the release of jobs.
+
+use super::{DeferralQueue, Phase, CAPACITY_CHECK_INTERVAL};
+use crate::dependency_index::JobState;
+use crate::pacer::ReleasePacer;
+use crate::timers::NEVER;
+use crate::{AfterRejection, Decision, FreeCapacity, JobEndStatus, JobId, Millis};
+
+impl DeferralQueue {
+    /// When [`DeferralQueue::release`] has something to do by time alone.
+    pub fn next_timer(&self, now: Millis) -> Option<Millis> {
+        // Ends that are to be forgotten need no timer: nobody waits for them, and they go with the next call.
+        let timer = self.timers.next_due();
+        if self.ready.is_empty() {
+            return timer;
+        }
+        let capacity_check = self.pacer.paused_until().max(now + CAPACITY_CHECK_INTERVAL);
+        Some(timer.map_or(capacity_check, |due| due.min(capacity_check)))
+    }
+
+    /// Whether jobs would be released now if there were capacity.
+    pub fn wants_capacity(&self, now: Millis) -> bool {
+        !self.ready.is_empty() && now >= self.pacer.paused_until()
+    }
+
+    /// Runs the timers that are due: jobs become ready, fail or are rejected.
+    pub fn advance(&mut self, now: Millis) {
+        self.dependencies.forget_old_ends(&self.limits, now);
+        while let Some(id) = self.timers.pop_due(now) {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.timer_due = NEVER;
+                self.run_timer(id, now);
+            }
+        }
+    }
+
+    /// Advances to `now` and releases the jobs for which the fleet has capacity.
+    pub fn release(&mut self, capacity: FreeCapacity, now: Millis) {
+        self.advance(now);
+        let reserved_share = self.limits.reserved_share;
+        let mut allowance = self.pacer.begin_turn(capacity, reserved_share, now);
+        self.largest_free = capacity.largest_free;
+        while allowance.jobs > 0 {
+            let Some(id) = self.ready.first() else { break };
+            let Some(job) = self.jobs.get(&id) else { break };
+            // Whether the job fits at any single worker, or may queue there for a moment, the decision module knows.
+            let required = ReleasePacer::required_slots(job.slots, capacity, reserved_share);
+            // No job passes the first one: otherwise a job that needs more slots than others would never get them.
+            if required > allowance.slots {
+                break;
+            }
+            self.release_job(id, now);
+            allowance.slots -= required;
+            allowance.jobs -= 1;
+        }
+    }
+
+    /// The decision module rejected a released job of which nothing was ever sent. If the rejection is final, the host
+    /// answers the client at once.
+    pub fn requeue_rejected(&mut self, id: JobId, now: Millis) -> AfterRejection {
+        let Some(job) = self.jobs.get_mut(&id) else { return AfterRejection::Final };
+        if job.phase != Phase::Released {
+            return AfterRejection::Final;
+        }
+        // The rejection of a job that fits at no single worker says nothing of others: they pass during its backoff.
+        if job.slots <= self.largest_free {
+            self.pacer.record_rejection(now);
+        }
+        let until = now + ReleasePacer::backoff(job.rejections + 1);
+        if self.closed || until >= job.last_release_time(&self.limits) {
+            return AfterRejection::Final;
+        }
+        job.rejections += 1;
+        job.phase = Phase::BackingOff { until };
+        self.usage.add(job.client, job.bytes);
+        self.reschedule(id);
+        AfterRejection::Requeued
+    }
+
+    /// A job that was not deferred was rejected for want of capacity. Releases pause for a moment, so that a backlog of
+    /// deferred jobs does not crowd out arrivals; the limits of the wait hold all the same.
+    pub fn yield_to_arrivals(&mut self, now: Millis) {
+        self.pacer.yield_to_arrivals(now);
+    }
+
+    fn release_job(&mut self, id: JobId, now: Millis) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        if let Phase::Ready(rank) = job.phase {
+            self.ready.remove(rank, id);
+        }
+        job.phase = Phase::Released;
+        self.longest_wait = self.longest_wait.max(now - job.ready_at);
+        if job.rejections == 0 {
+            self.released += 1;
+        }
+        self.usage.remove(job.client, job.bytes);
+        self.reschedule(id);
+        self.pacer.record_release(now);
+        self.decisions.push(Decision::Release(id));
+    }
+
+    /// A job's timer is due.
+    fn run_timer(&mut self, id: JobId, now: Millis) {
+        let Some(job) = self.jobs.get_mut(&id) else { return };
+        let awaits_release = job.phase.awaits_release();
+        let has_waited_too_long = awaits_release && now >= job.ready_at + self.limits.max_ready_wait;
+        if has_waited_too_long || now >= job.last_rejection_time(&self.limits) {
+            if awaits_release {
+                self.longest_wait = self.longest_wait.max(now - job.ready_at);
+            }
+            return self.reject(id, now);
+        }
+        match job.phase {
+            Phase::Blocked if now >= job.grace_until => {
+                job.grace_until = NEVER;
+                if self.has_unknown_dependency(id) {
+                    return self.fail(id, now);
+                }
+            }
+            Phase::Scheduled if now >= job.not_before => {
+                // It has been ready since then, however late the timer runs.
+                job.ready_at = job.not_before;
+                self.make_ready(id);
+            }
+            Phase::BackingOff { until } if now >= until => self.make_ready(id),
+            Phase::Blocked
+            | Phase::Scheduled
+            | Phase::BackingOff { .. }
+            | Phase::Ready(_)
+            | Phase::Released => {}
+        }
+        self.reschedule(id);
+    }
+
+    fn has_unknown_dependency(&self, id: JobId) -> bool {
+        let Some(job) = self.jobs.get(&id) else { return false };
+        let mut dependencies = job.unmet_dependencies.iter();
+        dependencies.any(|dependency| self.dependencies.state(&dependency.trace_id) == JobState::Unknown)
+    }
+
+    fn reject(&mut self, id: JobId, now: Millis) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let trace_id = job.trace_id.clone();
+        let retry_after = self.estimate_time_to_room();
+        self.decisions.push(Decision::Reject { id, retry_after });
+        self.propagate_end(trace_id, JobEndStatus::Rejected, now);
+    }
+
+    fn fail(&mut self, id: JobId, now: Millis) {
+        let Some(job) = self.jobs.get(&id) else { return };
+        let trace_id = job.trace_id.clone();
+        self.decisions.push(Decision::Fail(id));
+        self.propagate_end(trace_id, JobEndStatus::Failed, now);
+    }
+}
--- /dev/null
+++ b/crates/deferred-jobs/src/timers.rs
@@ -0,0 +1,47 @@
+//! The timers of the deferred jobs, one each at most.
+
+use crate::ordered_time::OrderedTime;
+use crate::{JobId, Millis};
+use std::collections::BTreeSet;
+
+/// The due time of a job without a timer.
+pub const NEVER: Millis = f64::INFINITY;
+
+/// Jobs by the time at which they change by time alone. Each job keeps its own due time and passes it in.
+#[derive(Debug, Default)]
+pub struct Timers {
+    by_due_time: BTreeSet<(OrderedTime, JobId)>,
+}
+
+impl Timers {
+    /// Moves a job's timer; [`NEVER`] stands for none.
+    pub fn reschedule(&mut self, id: JobId, old_due: Millis, new_due: Millis) {
+        self.cancel(id, old_due);
+        if new_due.is_finite() {
+            self.by_due_time.insert((OrderedTime(new_due), id));
+        }
+    }
+
+    /// Removes a job's timer, if it has one.
+    pub fn cancel(&mut self, id: JobId, due: Millis) {
+        self.by_due_time.remove(&(OrderedTime(due), id));
+    }
+
+    /// When the next timer is due.
+    pub fn next_due(&self) -> Option<Millis> {
+        self.by_due_time.first().map(|(due, _)| due.0)
+    }
+
+    /// Removes the next timer that is due and returns its job.
+    pub fn pop_due(&mut self, now: Millis) -> Option<JobId> {
+        if self.next_due()? > now {
+            return None;
+        }
+        self.by_due_time.pop_first().map(|(_, id)| id)
+    }
+
+    /// The number of timers.
+    pub fn len(&self) -> usize {
+        self.by_due_time.len()
+    }
+}
--- /dev/null
+++ b/crates/deferred-jobs/src/usage.rs
@@ -0,0 +1,61 @@
+//! What the deferred jobs take of the limits.
+
+use crate::error::ExceededLimit;
+use crate::Limits;
+use std::collections::HashMap;
+
+/// Counts of the jobs that are deferred now; those that were released don't count.
+#[derive(Debug, Default)]
+pub struct Usage {
+    jobs: usize,
+    bytes: usize,
+    jobs_by_client: HashMap<u64, usize>,
+}
+
+impl Usage {
+    /// The number of deferred jobs.
+    pub fn jobs(&self) -> usize {
+        self.jobs
+    }
+
+    /// The bytes that they hold.
+    pub fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    /// Checks whether one more job of a client would fit.
+    ///
+    /// # Errors
+    /// The first limit that it would exceed.
+    pub fn check_room(&self, limits: &Limits, client: u64, bytes: usize) -> Result<(), ExceededLimit> {
+        let jobs_of_client = self.jobs_by_client.get(&client).copied().unwrap_or(0);
+        if self.jobs >= limits.max_jobs {
+            Err(ExceededLimit::Jobs)
+        } else if self.bytes + bytes > limits.max_bytes {
+            Err(ExceededLimit::Bytes)
+        } else if jobs_of_client >= limits.max_jobs_per_client {
+            Err(ExceededLimit::JobsPerClient)
+        } else {
+            Ok(())
+        }
+    }
+
+    /// Counts a job.
+    pub fn add(&mut self, client: u64, bytes: usize) {
+        self.jobs += 1;
+        self.bytes += bytes;
+        *self.jobs_by_client.entry(client).or_default() += 1;
+    }
+
+    /// Counts a job no more.
+    pub fn remove(&mut self, client: u64, bytes: usize) {
+        self.jobs -= 1;
+        self.bytes -= bytes;
+        if let Some(jobs) = self.jobs_by_client.get_mut(&client) {
+            *jobs -= 1;
+            if *jobs == 0 {
+                self.jobs_by_client.remove(&client);
+            }
+        }
+    }
+}
--- a/crates/deferred-jobs/tests/model.rs
+++ b/crates/deferred-jobs/tests/model.rs
@@ -1,6 +1,9 @@
-//! Random graphs, weights, arrivals and ends, checked against what the pages promise.
+//! Random graphs, weights, arrivals and ends, checked against what the user documentation promises.
 
-use postusher_deferred_jobs::*;
+use postusher_deferred_jobs::{
+    AfterRejection, Decision, DeferralQueue, DeferredJob, Dependency, FreeCapacity, JobEndStatus, JobId,
+    Limits, Millis, StartConditions,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,14 +33,20 @@
     ]
 }
 
+/// A deferred job, as the model knows it.
+struct Deferred {
+    dependencies: Vec<Dependency>,
+    not_before: Option<Millis>,
+    deadline: Millis,
+}
+
 #[derive(Default)]
 struct Model {
     now: Millis,
     next: u32,
-    /// Held by the room: what it waits for, and when it gives up.
-    held: BTreeMap<u32, (Vec<After>, Option<Millis>, Millis)>,
+    deferred: BTreeMap<u32, Deferred>,
     /// At work, ordinary or released.
-    out: BTreeSet<u32>,
+    running: BTreeSet<u32>,
     ends: BTreeMap<u32, JobEndStatus>,
 }
 
@@ -46,118 +55,141 @@
 }
 
 fn limits() -> Limits {
-    Limits { weights: vec![1.0, 4.0, 0.5], longest: 9_000.0, grace: 700.0, reserve: 0.0, ..Limits::default() }
+    Limits {
+        class_weights: vec![1.0, 4.0, 0.5],
+        max_ready_wait: 9_000.0,
+        dependency_grace: 700.0,
+        reserved_share: 0.0,
+        ..Limits::default()
+    }
 }
 
 impl Model {
-    fn end(&mut self, id: u32, how: JobEndStatus) {
-        assert!(self.ends.insert(id, how).is_none(), "job {id} has ended twice");
+    fn record_end(&mut self, id: u32, status: JobEndStatus) {
+        assert!(self.ends.insert(id, status).is_none(), "job {id} has ended twice");
+    }
+
+    fn check_start_conditions(&self, id: u32, job: &Deferred) {
+        assert!(job.not_before.is_none_or(|at| at <= self.now), "job {id} is too early");
+        for dependency in &job.dependencies {
+            let other: u32 = dependency.trace_id[1..].parse().unwrap();
+            let end = self.ends.get(&other).copied();
+            let is_met = match end {
+                Some(JobEndStatus::Served) => true,
+                Some(JobEndStatus::Rejected | JobEndStatus::Failed) => dependency.any_end,
+                Some(JobEndStatus::Disconnected) | None => false,
+            };
+            assert!(is_met, "job {id} is released though {other} ended {end:?}");
+        }
     }
 
-    fn carry_out(&mut self, room: &mut Room, refuses: bool) {
-        for verdict in room.decisions() {
-            match verdict {
+    fn carry_out(&mut self, queue: &mut DeferralQueue, rejects: bool) {
+        for decision in queue.take_decisions() {
+            match decision {
                 Decision::Release(JobId(id)) => {
-                    let (after, start, _) = self.held.remove(&id).expect("released, yet not held");
-                    assert!(start.is_none_or(|at| at <= self.now), "job {id} is too early");
-                    for a in &after {
-                        let n: u32 = a.name[1..].parse().unwrap();
-                        let end = self.ends.get(&n).copied();
-                        let good = end == Some(JobEndStatus::Served)
-                            || a.any && end.is_some_and(|e| e != JobEndStatus::Disconnected);
-                        assert!(good, "job {id} goes on though {n} ended {end:?}");
-                    }
-                    if refuses && room.turned_away(JobId(id), self.now) {
-                        self.held.insert(id, (after, start, f64::INFINITY));
-                    } else if refuses {
-                        room.ended(&name(id.into()), JobEndStatus::Rejected, self.now);
-                        self.end(id, JobEndStatus::Rejected);
+                    let job = self.deferred.remove(&id).expect("released, yet not deferred");
+                    self.check_start_conditions(id, &job);
+                    if !rejects {
+                        self.running.insert(id);
+                    } else if queue.requeue_rejected(JobId(id), self.now) == AfterRejection::Requeued {
+                        self.deferred.insert(id, Deferred { deadline: f64::INFINITY, ..job });
                     } else {
-                        self.out.insert(id);
+                        queue.record_end(&name(id.into()), JobEndStatus::Rejected, self.now);
+                        self.record_end(id, JobEndStatus::Rejected);
                     }
                 }
                 Decision::Fail(JobId(id)) => {
-                    self.held.remove(&id).expect("failed, yet not held");
-                    self.end(id, JobEndStatus::Failed);
+                    self.deferred.remove(&id).expect("failed, yet not deferred");
+                    self.record_end(id, JobEndStatus::Failed);
                 }
                 Decision::Reject { id: JobId(id), .. } => {
-                    self.held.remove(&id).expect("refused, yet not held");
-                    self.end(id, JobEndStatus::Rejected);
+                    self.deferred.remove(&id).expect("rejected, yet not deferred");
+                    self.record_end(id, JobEndStatus::Rejected);
                 }
             }
         }
     }
 
-    fn step(&mut self, room: &mut Room, step: Step) {
+    fn step(&mut self, queue: &mut DeferralQueue, step: Step) {
         match step {
             Step::Open => {
-                room.opened(&name(self.next.into()));
-                self.out.insert(self.next);
+                queue.record_start(&name(self.next.into()));
+                self.running.insert(self.next);
                 self.next += 1;
             }
             Step::Hold { class, slots, after, start, patience } => {
                 let id = self.next;
                 self.next += 1;
-                let to = |d: i8| name((i64::from(id) + i64::from(d)).max(0));
-                let after: Vec<After> =
-                    after.iter().map(|(d, any)| After { name: to(*d).as_str().into(), any: *any }).collect();
-                let start = start.map(|ms| self.now + f64::from(ms));
-                let expires = self.now + f64::from(patience);
-                let wish = Wish { after: after.clone(), start };
-                let new =
-                    Newcomer { class, slots, ..Newcomer::new(JobId(id), &name(id.into()), expires, wish) };
-                match room.hold(new, self.now) {
-                    Ok(()) => drop(self.held.insert(id, (after, start, expires))),
-                    Err(_) => self.end(id, JobEndStatus::Rejected),
+                let mut dependencies = Vec::new();
+                for (distance, any_end) in after {
+                    let other = name((i64::from(id) + i64::from(distance)).max(0));
+                    dependencies.push(Dependency { trace_id: other.as_str().into(), any_end });
                 }
-            }
-            Step::End { which, how } => {
-                let all: Vec<u32> = self.out.iter().chain(self.held.keys()).copied().collect();
-                if all.is_empty() {
-                    return;
+                let not_before = start.map(|ms| self.now + f64::from(ms));
+                let deadline = self.now + f64::from(patience);
+                let conditions = StartConditions { dependencies: dependencies.clone(), not_before };
+                let job = DeferredJob::new(JobId(id), &name(id.into()), deadline, conditions);
+                match queue.defer(DeferredJob { class, slots, ..job }, self.now) {
+                    Ok(()) => {
+                        self.deferred.insert(id, Deferred { dependencies, not_before, deadline });
+                    }
+                    Err(_) => self.record_end(id, JobEndStatus::Rejected),
                 }
-                let id = all[usize::from(which) % all.len()];
-                let how = match how {
-                    0 => JobEndStatus::Failed,
-                    1 => JobEndStatus::Rejected,
-                    2 => JobEndStatus::Disconnected,
-                    _ => JobEndStatus::Served,
-                };
-                // A job that is held can only be left by its client.
-                let how = if self.out.remove(&id) { how } else { JobEndStatus::Disconnected };
-                self.held.remove(&id);
-                room.ended(&name(id.into()), how, self.now);
-                self.end(id, how);
             }
+            Step::End { which, how } => self.end_any(queue, which, how),
             Step::Turn { pass, free, refuses } => {
                 self.now += f64::from(pass);
-                room.release(FreeCapacity { free, total: 24, largest_free: free.min(5) }, self.now);
-                self.carry_out(room, refuses);
-            }
-            Step::Upgrade => {
-                self.carry_out(room, false);
-                let mut next = Room::new(limits());
-                self.out.iter().for_each(|id| next.opened(&name((*id).into())));
-                for (n, end, _) in room.remembered(self.now) {
-                    next.opened(&n);
-                    next.ended(&n, end, self.now);
-                }
-                for (id, (_, _, expires)) in &self.held {
-                    let (wish, carried) =
-                        room.parcel(JobId(*id), self.now).expect("held, yet not to be handed on");
-                    let new = Newcomer::new(JobId(*id), &name((*id).into()), expires.min(1e9), wish);
-                    next.hold(Newcomer { carried: Some(carried), ..new }, self.now)
-                        .expect("held before, so held now");
-                    room.moved(&name((*id).into()));
-                }
-                assert_eq!(room.count(self.now).held, 0);
-                *room = next;
+                queue.release(FreeCapacity { free, total: 24, largest_free: free.min(5) }, self.now);
+                self.carry_out(queue, refuses);
             }
+            Step::Upgrade => self.upgrade(queue),
+        }
+        self.carry_out(queue, false);
+        assert_eq!(queue.statistics(self.now).held, self.deferred.len());
+        let footprint = queue.footprint();
+        assert!(footprint.timers <= self.deferred.len() && footprint.bytes == 0);
+    }
+
+    fn end_any(&mut self, queue: &mut DeferralQueue, which: u16, how: u8) {
+        let all: Vec<u32> = self.running.iter().chain(self.deferred.keys()).copied().collect();
+        if all.is_empty() {
+            return;
+        }
+        let id = all[usize::from(which) % all.len()];
+        let status = match how {
+            0 => JobEndStatus::Failed,
+            1 => JobEndStatus::Rejected,
+            2 => JobEndStatus::Disconnected,
+            _ => JobEndStatus::Served,
+        };
+        // A deferred job can only be left by its client.
+        let status = if self.running.remove(&id) { status } else { JobEndStatus::Disconnected };
+        self.deferred.remove(&id);
+        queue.record_end(&name(id.into()), status, self.now);
+        self.record_end(id, status);
+    }
+
+    fn upgrade(&mut self, queue: &mut DeferralQueue) {
+        self.carry_out(queue, false);
+        let mut successor = DeferralQueue::new(limits());
+        for id in &self.running {
+            successor.record_start(&name((*id).into()));
+        }
+        for end in queue.remembered_ends(self.now) {
+            successor.record_start(&end.trace_id);
+            successor.record_end(&end.trace_id, end.status, self.now);
         }
-        self.carry_out(room, false);
-        assert_eq!(room.count(self.now).held, self.held.len());
-        let (_, _, alarms, bytes) = room.kept();
-        assert!(alarms <= self.held.len() && bytes == 0);
+        for (id, deferred) in &self.deferred {
+            let trace_id = name((*id).into());
+            let exported = queue.export(JobId(*id), self.now).expect("deferred, yet not exported");
+            let deadline = deferred.deadline.min(1e9);
+            let job = DeferredJob::new(JobId(*id), &trace_id, deadline, exported.conditions);
+            let job = DeferredJob { migrated: Some(exported.state), ..job };
+            successor.defer(job, self.now).expect("deferred before, so deferred now");
+            queue.record_migration(&trace_id);
+        }
+        assert_eq!(queue.statistics(self.now).held, 0);
+        *queue = successor;
     }
 }
 
@@ -165,65 +197,67 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn each_job_ends_once_and_none_goes_on_before_what_it_waits_for(steps in prop::collection::vec(step(), 1..150)) {
-        let (mut room, mut model) = (Room::new(limits()), Model::default());
+    fn each_job_ends_once_and_none_is_released_before_its_start_conditions_are_met(
+        steps in prop::collection::vec(step(), 1..150),
+    ) {
+        let (mut queue, mut model) = (DeferralQueue::new(limits()), Model::default());
         for step in steps {
-            model.step(&mut room, step);
+            model.step(&mut queue, step);
         }
-        // What is under way ends; then time alone brings every job to its verdict.
-        for id in std::mem::take(&mut model.out) {
-            room.ended(&name(id.into()), JobEndStatus::Failed, model.now);
-            model.end(id, JobEndStatus::Failed);
+        // What is under way ends; then time alone brings every job to its decision.
+        for id in std::mem::take(&mut model.running) {
+            queue.record_end(&name(id.into()), JobEndStatus::Failed, model.now);
+            model.record_end(id, JobEndStatus::Failed);
         }
-        model.carry_out(&mut room, false);
+        model.carry_out(&mut queue, false);
         model.now += 30_000.0;
-        room.release(FreeCapacity::default(), model.now);
-        model.carry_out(&mut room, false);
-        prop_assert!(model.held.is_empty(), "left without a verdict: {:?}", model.held.keys());
-        let (_, _, alarms, _) = room.kept();
-        prop_assert_eq!((room.count(model.now).held, alarms), (0, 0));
+        queue.release(FreeCapacity::default(), model.now);
+        model.carry_out(&mut queue, false);
+        prop_assert!(model.deferred.is_empty(), "left without a decision: {:?}", model.deferred.keys());
+        prop_assert_eq!(queue.statistics(model.now).held, 0);
+        prop_assert_eq!(queue.footprint().timers, 0);
     }
 
     /// The bound of the operators' page: a job of class c that got ready at r is passed only by jobs that got ready
-    /// before r + lag(c) - lag(theirs), and is gone within `longest` whatever happens.
+    /// before r + lag(c) - lag(theirs), and is gone within `max_ready_wait` whatever happens.
     #[test]
-    fn no_job_that_is_ready_is_passed_by_later_ones_beyond_its_lag(
+    fn no_ready_job_is_passed_by_later_ones_beyond_its_release_lag(
         jobs in prop::collection::vec((0u16..3, 0u16..60, 0u16..3_000), 1..120),
-        room_every in 1u32..40,
+        capacity_every in 1u32..40,
     ) {
-        let set = limits();
-        let mut room = Room::new(set.clone());
+        let limits = limits();
+        let mut queue = DeferralQueue::new(limits.clone());
         let (mut now, mut ready, mut class_of) = (0.0, BTreeMap::new(), BTreeMap::new());
         let mut gone: Vec<(u32, Millis)> = Vec::new();
         let one = FreeCapacity { free: 1, total: 1, largest_free: 1 };
         let mut pending = jobs.iter().zip(0u32..).peekable();
         let mut arrives = 0.0;
-        while pending.peek().is_some() || room.count(now).held > 0 {
+        while pending.peek().is_some() || queue.statistics(now).held > 0 {
             while let Some(((class, gap, wait), id)) = pending.next_if(|((_, gap, _), _)| arrives + f64::from(*gap) <= now) {
                 arrives += f64::from(*gap);
                 let start = now + f64::from(*wait);
-                let wish = Wish { after: Vec::new(), start: Some(start) };
-                let new = Newcomer { class: *class, ..Newcomer::new(JobId(id), &name(id.into()), 1e9, wish) };
-                room.hold(new, now).unwrap();
+                let conditions = StartConditions { dependencies: Vec::new(), not_before: Some(start) };
+                let new = DeferredJob { class: *class, ..DeferredJob::new(JobId(id), &name(id.into()), 1e9, conditions) };
+                queue.defer(new, now).unwrap();
                 ready.insert(id, start);
                 class_of.insert(id, *class);
             }
-            room.release(if (now as u32).is_multiple_of(room_every) { one } else { FreeCapacity::default() }, now);
-            for verdict in room.decisions() {
-                match verdict {
+            queue.release(if (now as u32).is_multiple_of(capacity_every) { one } else { FreeCapacity::default() }, now);
+            for decision in queue.take_decisions() {
+                match decision {
                     Decision::Release(JobId(id)) => gone.push((id, now)),
-                    Decision::Reject { id, .. } => prop_assert!(now - ready[&id.0] >= set.longest),
+                    Decision::Reject { id, .. } => prop_assert!(now - ready[&id.0] >= limits.max_ready_wait),
                     other => prop_assert!(false, "{other:?}"),
                 }
             }
             now += 1.0;
         }
         for (n, (id, at)) in gone.iter().enumerate() {
-            prop_assert!(at - ready[id] <= set.longest + 1.0);
+            prop_assert!(at - ready[id] <= limits.max_ready_wait + 1.0);
             for (earlier, went) in &gone[..n] {
                 // Only what went while this one was ready has passed it.
                 if *went >= ready[id] {
-                    let (lag, theirs) = (set.lag(class_of[id]), set.lag(class_of[earlier]));
+                    let (lag, theirs) = (limits.release_lag(class_of[id]), limits.release_lag(class_of[earlier]));
                     prop_assert!(ready[earlier] <= ready[id] + lag - theirs + 1e-6, "{earlier} passed {id}");
                 }
             }
--- a/crates/node/src/deferral.rs
+++ b/crates/node/src/deferral.rs
@@ -1,5 +1,4 @@
-//! Jobs that wait before they start: what a request says of it, and the waiting room beside the decision module,
-//! where the setup has one.
+//! Deferred jobs: what a request says of its start, and the queue beside the decision module, where the setup has one.
 
 use crate::clock::Millis;
 use crate::http::Headers;
@@ -7,300 +6,318 @@
 use crate::upgrade_protocol::{JobEnd, MigratedDeferral};
 use postusher_decision::JobId;
 use postusher_deferred_jobs::{
-    After, Carried, Count, Decision, JobEndStatus, Limits, Newcomer, No, Room, Wish, MOST_NAMES,
+    AfterRejection, Decision, DeferralQueue, DeferredJob, Dependency, JobEndStatus, Limits, MigratedState,
+    StartConditions as QueueConditions, Statistics, MAX_DEPENDENCIES,
 };
+use thiserror::Error;
 use time::format_description::well_known::Rfc3339;
 use time::OffsetDateTime;
 
+#[cfg(test)]
+mod tests;
+
 /// `ID[;any][, ...]`: jobs that have to end first.
-const AFTER: &str = "X-Start-After";
+const START_AFTER: &str = "X-Start-After";
 /// RFC 3339 date-time: not before then.
-const AT: &str = "X-Start-At";
+const START_AT: &str = "X-Start-At";
 /// Not before so long from now, in the units of `X-Expires-In`.
-const IN: &str = "X-Start-In";
-
-/// What a request says of its start; of several things the last counts.
+const START_IN: &str = "X-Start-In";
+/// The headers that are for this scheduler alone.
+const OWN_HEADERS: [&str; 3] = [START_AFTER, START_AT, START_IN];
+/// The parameter of a dependency that any end of its job meets.
+const ANY_END: &str = "any";
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MILLI: f64 = 1e6;
+
+/// When a job may start, as its request says: all of these have to be met.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StartConditions {
-    after: Vec<After>,
-    at: Option<Millis>,
-    within: Option<Millis>,
+    dependencies: Vec<Dependency>,
+    /// The earliest start, in milliseconds since 1970.
+    start_at: Option<Millis>,
+    /// The shortest time from the arrival to the start.
+    start_in: Option<Millis>,
 }
 
 impl StartConditions {
-    /// Takes what concerns the start out of a request: it is meant for this scheduler alone. `None` if it cannot be
-    /// read.
+    /// Removes the headers that concern the start from a request and returns what they say; `None` if one of them is
+    /// malformed, and then the headers stay.
     pub fn take(headers: &mut Headers) -> Option<StartConditions> {
-        let mut after = Vec::new();
-        for line in headers.all(AFTER) {
-            for part in std::str::from_utf8(line).ok()?.split(',') {
-                after.push(named(part.trim())?);
+        let mut dependencies = Vec::new();
+        for line in headers.all(START_AFTER) {
+            for item in std::str::from_utf8(line).ok()?.split(',') {
+                dependencies.push(parse_dependency(item.trim())?);
             }
         }
-        let at = headers.single(AT).ok()?.map(|text| instant(text).ok_or(())).transpose().ok()?;
-        let within = headers.single(IN).ok()?.map(|text| millis(text, None).ok_or(())).transpose().ok()?;
-        if after.len() > MOST_NAMES {
+        if dependencies.len() > MAX_DEPENDENCIES {
             return None;
         }
-        let own = |name: &str| [AFTER, AT, IN].iter().any(|n| n.eq_ignore_ascii_case(name));
-        headers.0.retain(|(name, _)| !own(name));
-        Some(StartConditions { after, at, within })
+        let start_at = match headers.single(START_AT).ok()? {
+            Some(text) => Some(parse_date_time(text)?),
+            None => None,
+        };
+        let start_in = match headers.single(START_IN).ok()? {
+            Some(text) => Some(millis(text, None)?),
+            None => None,
+        };
+        headers.0.retain(|(name, _)| !OWN_HEADERS.iter().any(|own| own.eq_ignore_ascii_case(name)));
+        Some(StartConditions { dependencies, start_at, start_in })
     }
 
     /// Whether there is nothing to wait for.
     pub fn is_empty(&self) -> bool {
-        self.after.is_empty() && self.at.is_none() && self.within.is_none()
+        self.dependencies.is_empty() && self.start_at.is_none() && self.start_in.is_none()
     }
 
-    fn wish(self, now: Millis) -> Wish {
-        let within = self.within.map(|ms| now + ms);
-        Wish { after: self.after, start: self.at.into_iter().chain(within).reduce(f64::max) }
+    /// The conditions of a job that arrives at `now`.
+    fn resolve(self, now: Millis) -> QueueConditions {
+        let after_delay = self.start_in.map(|delay| now + delay);
+        let not_before = match (self.start_at, after_delay) {
+            (Some(at), Some(after_delay)) => Some(at.max(after_delay)),
+            (at, after_delay) => at.or(after_delay),
+        };
+        QueueConditions { dependencies: self.dependencies, not_before }
     }
 }
 
-fn named(text: &str) -> Option<After> {
-    let (name, any) = match text.split_once(';') {
-        Some((name, word)) => (name.trim_end(), word.trim().eq_ignore_ascii_case("any").then_some(true)?),
+/// A dependency from its form `ID[;any]`.
+fn parse_dependency(text: &str) -> Option<Dependency> {
+    let (trace_id, any_end) = match text.split_once(';') {
+        Some((trace_id, parameter)) if parameter.trim().eq_ignore_ascii_case(ANY_END) => {
+            (trace_id.trim_end(), true)
+        }
+        Some(_) => return None,
         None => (text, false),
     };
-    is_id(name).then(|| After { name: name.into(), any })
+    if !is_id(trace_id) {
+        return None;
+    }
+    Some(Dependency { trace_id: trace_id.into(), any_end })
 }
 
 /// Milliseconds since 1970 of an RFC 3339 date-time.
-fn instant(text: &str) -> Option<Millis> {
+fn parse_date_time(text: &str) -> Option<Millis> {
     let nanos = OffsetDateTime::parse(text, &Rfc3339).ok()?.unix_timestamp_nanos();
-    Some(nanos as f64 / 1e6)
+    Some(nanos as f64 / NANOS_PER_MILLI)
 }
 
-/// Why a job that wants to wait is not held.
-#[derive(Clone, Copy, Debug, PartialEq)]
+/// Why a job is not deferred.
+#[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum DeferralError {
-    /// No room for it.
+    /// There is no room for it.
+    #[error("no room for a deferred job; retry after {retry_after} ms")]
     Full {
         /// When there may be some; 0 gives no advice.
         retry_after: Millis,
     },
-    /// A job that it names has ended otherwise.
+    /// A dependency has ended in a way that does not meet it.
+    #[error("a job that it depends on has ended otherwise")]
     Doomed,
-    /// It would wait for itself.
+    /// The job would wait for itself, directly or through others.
+    #[error("the job would wait for itself")]
     Circle,
     /// Its start lies after its own deadline.
+    #[error("the start lies after the deadline")]
     TooLate,
 }
 
-/// The waiting room of a scheduler; without one nothing waits, and nothing here costs anything.
-#[derive(Default)]
-pub struct DeferredJobs(Option<Room>);
+impl From<postusher_deferred_jobs::DeferralError> for DeferralError {
+    fn from(error: postusher_deferred_jobs::DeferralError) -> DeferralError {
+        use postusher_deferred_jobs::DeferralError as QueueError;
+        match error {
+            QueueError::Cycle => DeferralError::Circle,
+            QueueError::DependencyFailed => DeferralError::Doomed,
+            QueueError::Full { retry_after, .. } => DeferralError::Full { retry_after },
+            QueueError::Closed => DeferralError::Full { retry_after: 0.0 },
+        }
+    }
+}
 
-fn id(job: JobId) -> postusher_deferred_jobs::JobId {
-    postusher_deferred_jobs::JobId(job.0)
+/// The deferred jobs of a scheduler. Without a queue nothing is deferred, and nothing here has a cost.
+#[derive(Default)]
+pub struct DeferredJobs {
+    queue: Option<DeferralQueue>,
 }
 
 impl DeferredJobs {
-    /// A room with these bounds, if there is one.
+    /// A queue with these limits, if there are any.
     pub fn new(limits: Option<Limits>) -> DeferredJobs {
-        DeferredJobs(limits.map(Room::new))
+        DeferredJobs { queue: limits.map(DeferralQueue::new) }
     }
 
-    /// Whether jobs may wait.
+    /// Whether jobs can be deferred.
     pub fn is_on(&self) -> bool {
-        self.0.is_some()
+        self.queue.is_some()
     }
 
-    /// Other bounds; a room does not come or go while the scheduler runs.
+    /// Sets other limits; a queue does not come or go while the scheduler runs.
     pub fn set(&mut self, limits: Limits) {
-        if let Some(room) = &mut self.0 {
-            room.set(limits);
+        if let Some(queue) = &mut self.queue {
+            queue.set_limits(limits);
         }
     }
 
-    /// A job goes the ordinary way, here or at the other process of an upgrade.
+    /// A job that is not deferred is under way, here or at the other process of an upgrade.
     pub fn opened(&mut self, trace_id: &str) {
-        if let Some(room) = &mut self.0 {
-            room.opened(trace_id);
+        if let Some(queue) = &mut self.queue {
+            queue.record_start(trace_id);
         }
     }
 
     /// A job has had its answer, or its client has left.
-    pub fn ended(&mut self, trace_id: &str, how: JobEndStatus, now: Millis) {
-        if let Some(room) = &mut self.0 {
-            room.ended(trace_id, how, now);
+    pub fn ended(&mut self, trace_id: &str, status: JobEndStatus, now: Millis) {
+        if let Some(queue) = &mut self.queue {
+            queue.record_end(trace_id, status, now);
         }
     }
 
-    /// Holds a job, or says why not.
+    /// Defers a job.
+    ///
+    /// # Errors
+    /// Why it is not deferred; the client is to be told.
     pub fn hold(
         &mut self,
-        job: JobId,
+        id: JobId,
         client: u64,
-        new: &Job,
-        expires: Millis,
+        job: &Job,
+        deadline: Millis,
         now: Millis,
     ) -> Result<(), DeferralError> {
-        let wish = new.waits.clone().wish(now);
-        let late = wish.start.is_some_and(|at| at >= expires);
-        let Some(room) = self.0.as_mut() else { return Err(DeferralError::Full { retry_after: 0.0 }) };
-        if late {
-            // Whoever waits for it is told at once, too.
-            room.ended(&new.trace_id, JobEndStatus::Rejected, now);
+        let Some(queue) = &mut self.queue else { return Err(DeferralError::Full { retry_after: 0.0 }) };
+        let conditions = job.waits.clone().resolve(now);
+        if conditions.not_before.is_some_and(|start| start >= deadline) {
+            // The jobs that wait for it are told at once, too.
+            queue.record_end(&job.trace_id, JobEndStatus::Rejected, now);
             return Err(DeferralError::TooLate);
         }
-        room.hold(newcomer(job, client, new, expires, wish, None), now).map_err(|no| match no {
-            No::Circle => DeferralError::Circle,
-            No::Doomed => DeferralError::Doomed,
-            No::Full { retry_after, .. } => DeferralError::Full { retry_after },
-            No::Closed => DeferralError::Full { retry_after: 0.0 },
-        })
+        queue.defer(deferred_job(id, client, job, deadline, conditions), now)?;
+        Ok(())
     }
 
-    /// Holds a job that another process has held; says if it does.
+    /// Defers a job that another process deferred before. Returns whether it is deferred here.
     pub fn adopt(
         &mut self,
-        job: JobId,
+        id: JobId,
         client: u64,
-        new: &Job,
-        expires: Millis,
-        held: MigratedDeferral,
+        job: &Job,
+        deadline: Millis,
+        deferral: MigratedDeferral,
         now: Millis,
     ) -> bool {
-        let Some(room) = &mut self.0 else { return false };
-        let after =
-            held.dependencies.iter().map(|(name, any)| After { name: name.as_str().into(), any: *any });
-        let wish = Wish { after: after.collect(), start: held.start_in.map(|ms| now + ms) };
-        let carried = Carried { ready_for: held.ready_for, grace_left: held.grace_left };
-        room.hold(newcomer(job, client, new, expires, wish, Some(carried)), now).is_ok()
+        let Some(queue) = &mut self.queue else { return false };
+        let mut dependencies = Vec::with_capacity(deferral.dependencies.len());
+        for (trace_id, any_end) in deferral.dependencies {
+            dependencies.push(Dependency { trace_id: trace_id.into(), any_end });
+        }
+        let not_before = deferral.start_in.map(|delay| now + delay);
+        let conditions = QueueConditions { dependencies, not_before };
+        let mut job = deferred_job(id, client, job, deadline, conditions);
+        job.migrated = Some(MigratedState { ready_for: deferral.ready_for, grace_left: deferral.grace_left });
+        queue.defer(job, now).is_ok()
     }
 
-    /// What another process needs to go on holding a job, if it is held.
+    /// What another process needs to go on deferring a job; `None` if it is not deferred.
     pub fn parcel(&self, job: JobId, now: Millis) -> Option<MigratedDeferral> {
-        let (wish, carried) = self.0.as_ref()?.parcel(id(job), now)?;
+        let exported = self.queue.as_ref()?.export(queue_id(job), now)?;
+        let mut dependencies = Vec::with_capacity(exported.conditions.dependencies.len());
+        for dependency in exported.conditions.dependencies {
+            dependencies.push((dependency.trace_id.to_string(), dependency.any_end));
+        }
         Some(MigratedDeferral {
-            dependencies: wish.after.into_iter().map(|a| (a.name.to_string(), a.any)).collect(),
-            start_in: wish.start.map(|at| at - now),
-            ready_for: carried.ready_for,
-            grace_left: carried.grace_left,
+            dependencies,
+            start_in: exported.conditions.not_before.map(|at| at - now),
+            ready_for: exported.state.ready_for,
+            grace_left: exported.state.grace_left,
         })
     }
 
     /// Another process has a job now.
     pub fn moved(&mut self, trace_id: &str) {
-        if let Some(room) = &mut self.0 {
-            room.moved(trace_id);
+        if let Some(queue) = &mut self.queue {
+            queue.record_migration(trace_id);
         }
     }
 
     /// What another process must know of jobs that have ended.
     pub fn remembered(&self, now: Millis) -> Vec<JobEnd> {
-        let all = self.0.iter().flat_map(|room| room.remembered(now));
-        all.map(|(name, status, _)| JobEnd { trace_id: name.to_string(), status }).collect()
+        let Some(queue) = &self.queue else { return Vec::new() };
+        let mut ends = Vec::new();
+        for end in queue.remembered_ends(now) {
+            ends.push(JobEnd { trace_id: end.trace_id.to_string(), status: end.status });
+        }
+        ends
     }
 
-    /// Lets time pass and releases what there is room for; `capacity` is asked only where jobs could go on.
+    /// Advances to `now` and releases the jobs for which there is capacity; `capacity` is only called when jobs could be
+    /// released. Returns what is to be done.
     pub fn release(
         &mut self,
         capacity: impl Fn() -> postusher_decision::FreeCapacity,
         now: Millis,
     ) -> Vec<Decision> {
-        let Some(room) = &mut self.0 else { return Vec::new() };
-        room.pass(now);
-        if room.wants_room(now) {
+        let Some(queue) = &mut self.queue else { return Vec::new() };
+        queue.advance(now);
+        if queue.wants_capacity(now) {
             let postusher_decision::FreeCapacity { free, total, largest_free } = capacity();
-            room.release(postusher_deferred_jobs::FreeCapacity { free, total, largest_free }, now);
+            queue.release(postusher_deferred_jobs::FreeCapacity { free, total, largest_free }, now);
         }
-        room.decisions()
+        queue.take_decisions()
     }
 
-    /// The module has turned away a job that came from here and that no target was sent; says if it waits on.
+    /// The decision module has rejected a released job that no worker was sent. Returns whether it is deferred again.
     pub fn turned_away(&mut self, job: JobId, now: Millis) -> bool {
-        self.0.as_mut().is_some_and(|room| room.turned_away(id(job), now))
+        let Some(queue) = &mut self.queue else { return false };
+        match queue.requeue_rejected(queue_id(job), now) {
+            AfterRejection::Requeued => true,
+            AfterRejection::Final => false,
+        }
     }
 
-    /// The module has turned away a job that never waited.
+    /// The decision module has rejected a job that was never deferred.
     pub fn crowded(&mut self, now: Millis) {
-        if let Some(room) = &mut self.0 {
-            room.crowded(now);
+        if let Some(queue) = &mut self.queue {
+            queue.yield_to_arrivals(now);
         }
     }
 
     /// When [`DeferredJobs::release`] has something to do by time alone.
     pub fn next_due(&self, now: Millis) -> Option<Millis> {
-        self.0.as_ref()?.next_due(now)
+        self.queue.as_ref()?.next_timer(now)
     }
 
     /// The scheduler ends.
     pub fn close(&mut self) {
-        if let Some(room) = &mut self.0 {
-            room.close();
+        if let Some(queue) = &mut self.queue {
+            queue.close();
         }
     }
 
-    /// The metrics, where there is a room.
-    pub fn count(&self, now: Millis) -> Option<Count> {
-        self.0.as_ref().map(|room| room.count(now))
+    /// The metrics, where there is a queue.
+    pub fn count(&self, now: Millis) -> Option<Statistics> {
+        self.queue.as_ref().map(|queue| queue.statistics(now))
     }
 }
 
-fn newcomer(
-    job: JobId,
-    client: u64,
-    new: &Job,
-    expires: Millis,
-    wish: Wish,
-    carried: Option<Carried>,
-) -> Newcomer {
-    Newcomer {
-        id: id(job),
-        name: new.trace_id.as_str().into(),
-        client,
-        class: new.class,
-        slots: new.slots,
-        bytes: new.payload.size(),
-        expires,
-        wish,
-        carried,
-    }
+fn queue_id(job: JobId) -> postusher_deferred_jobs::JobId {
+    postusher_deferred_jobs::JobId(job.0)
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::intake::tests::job_of;
-
-    fn waits(headers: &str) -> Result<StartConditions, u16> {
-        job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{headers}\r\n")).map(|job| job.waits)
-    }
-
-    #[test]
-    fn what_a_request_waits_for_is_read_and_taken_out_of_it() {
-        let all =
-            waits("x-start-after: b, c;any\r\nX-Start-After: d ; ANY\r\nX-Start-In: 1500m\r\n").unwrap();
-        assert_eq!(all.after, [After::served("b"), After::any("c"), After::any("d")]);
-        assert_eq!(all.clone().wish(1_000.0).start, Some(2_500.0));
-        let at = waits("X-Start-At: 2026-12-01T06:00:00.5+01:00\r\nX-Start-In: 1u\r\n").unwrap();
-        assert_eq!(at.wish(0.0).start, Some(1_796_101_200_500.0));
-        assert!(waits("").unwrap().is_empty());
-        let job =
-            job_of("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\nX-Start-In: 1m\r\nX-Other: 1\r\n\r\n").unwrap();
-        let sent = String::from_utf8(job.payload.request(1.0)).unwrap();
-        assert!(!sent.contains("X-Start") && sent.contains("X-Other: 1"));
-    }
-
-    #[test]
-    fn what_cannot_be_meant_is_refused_as_such() {
-        let many = format!("X-Start-After: {}\r\n", vec!["b"; 17].join(","));
-        let bad = [
-            "X-Start-After: \r\n",
-            "X-Start-After: b,,c\r\n",
-            "X-Start-After: b;all\r\n",
-            "X-Start-After: a/b\r\n",
-            "X-Start-At: six\r\n",
-            "X-Start-At: 2026-02-30T00:00:00Z\r\n",
-            "X-Start-At: 2026-12-01T06:00:00\r\n",
-            "X-Start-In: 5\r\n",
-            "X-Start-In: -5m\r\n",
-            "X-Start-In: 1m\r\nX-Start-In: 1m\r\n",
-            &many,
-        ];
-        bad.iter().for_each(|headers| assert_eq!(waits(headers), Err(400), "{headers}"));
+fn deferred_job(
+    id: JobId,
+    client: u64,
+    job: &Job,
+    deadline: Millis,
+    conditions: QueueConditions,
+) -> DeferredJob {
+    DeferredJob {
+        id: queue_id(id),
+        trace_id: job.trace_id.as_str().into(),
+        client,
+        class: job.class,
+        slots: job.slots,
+        bytes: job.payload.size(),
+        deadline,
+        conditions,
+        migrated: None,
     }
 }
--- a/crates/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -69,36 +69,36 @@
 
 impl Default for Waiting {
     fn default() -> Self {
-        let l = postusher_deferred_jobs::Limits::default();
+        let defaults = postusher_deferred_jobs::Limits::default();
         Waiting {
-            jobs: l.jobs,
-            bytes: l.bytes,
-            per_client: l.per_client,
-            remembered: l.remembered,
-            remember_for: l.remember_for,
-            grace: l.grace,
-            longest: l.longest,
-            ageing: l.ageing,
-            reserve: l.reserve,
+            jobs: defaults.max_jobs,
+            bytes: defaults.max_bytes,
+            per_client: defaults.max_jobs_per_client,
+            remembered: defaults.max_remembered_ends,
+            remember_for: defaults.remember_ends_for,
+            grace: defaults.dependency_grace,
+            longest: defaults.max_ready_wait,
+            ageing: defaults.aging,
+            reserve: defaults.reserved_share,
             weights: BTreeMap::new(),
         }
     }
 }
 
 impl Waiting {
-    /// The bounds of a room, with classes by their numbers.
+    /// The limits of the queue of deferred jobs, with classes by their numbers.
     pub fn limits<'a>(&self, classes: impl Iterator<Item = &'a str>) -> postusher_deferred_jobs::Limits {
         postusher_deferred_jobs::Limits {
-            jobs: self.jobs,
-            bytes: self.bytes,
-            per_client: self.per_client,
-            remembered: self.remembered,
-            remember_for: self.remember_for,
-            grace: self.grace,
-            longest: self.longest,
-            ageing: self.ageing,
-            reserve: self.reserve,
-            weights: classes.map(|name| self.weights.get(name).copied().unwrap_or(1.0)).collect(),
+            max_jobs: self.jobs,
+            max_bytes: self.bytes,
+            max_jobs_per_client: self.per_client,
+            max_remembered_ends: self.remembered,
+            remember_ends_for: self.remember_for,
+            dependency_grace: self.grace,
+            max_ready_wait: self.longest,
+            aging: self.ageing,
+            reserved_share: self.reserve,
+            class_weights: classes.map(|name| self.weights.get(name).copied().unwrap_or(1.0)).collect(),
             ..postusher_deferred_jobs::Limits::default()
         }
     }
--- a/crates/setup/tests/samples.rs
+++ b/crates/setup/tests/samples.rs
@@ -74,7 +74,7 @@
     assert_eq!((w.remember_for, w.grace, w.longest, w.ageing), (7_200_000.0, 750.0, 90_000.0, 1_500.0));
     assert_eq!((w.reserve, w.weights["fund-batch"], w.weights.len()), (0.125, 4.0, 2));
     let limits = w.limits(["debtor-check", "fund-batch"].into_iter());
-    assert_eq!((limits.weights, limits.reserve), (vec![1.0, 4.0], 0.125));
+    assert_eq!((limits.class_weights, limits.reserved_share), (vec![1.0, 4.0], 0.125));
 }
 
 #[test]
