--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,94 +1,92 @@
-//! Hosts one dispatcher for each instance. Instances share nothing.
+//! Hosts one dispatcher for each simulated scheduler. Dispatchers share nothing.
 
-use crate::wire::{Batch, Record, Reply};
-use postusher_decision::{Action, Dispatcher, Event, Micros};
-use postusher_settings::SiteSettings;
+#[cfg(test)]
+mod tests;
+
+use crate::wire::{Batch, InstanceId, Record, Reply};
+use postusher_decision::{Dispatcher, Event, Micros};
+use postusher_settings::{SettingsError, SiteSettings};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
+use thiserror::Error;
 
-/// The running instances.
+/// Why a batch could not be played.
+#[derive(Debug, Error)]
+pub enum HostError {
+    /// A dispatcher is to start with settings that are not valid.
+    #[error("instance {instance}: {cause}")]
+    Settings {
+        /// The dispatcher's number on the wire.
+        instance: InstanceId,
+        /// What is wrong with them.
+        #[source]
+        cause: SettingsError,
+    },
+}
+
+/// The running dispatchers.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u16, Dispatcher>,
+    dispatchers: BTreeMap<InstanceId, Dispatcher>,
 }
 
 impl Host {
-    /// Plays a batch and builds the reply to it.
-    pub fn play(&mut self, batch: Batch) -> Result<Vec<u8>, String> {
+    /// Plays a batch and returns the frame that replies to it.
+    ///
+    /// # Errors
+    /// A dispatcher cannot be started.
+    pub fn play(&mut self, batch: Batch) -> Result<Vec<u8>, HostError> {
         let mut reply = Reply::default();
         for (instance, record) in batch.records {
             match record {
-                Record::Launch { seed, settings } => {
-                    let site =
-                        SiteSettings::parse(&settings).map_err(|e| format!("instance {instance}: {e}"))?;
-                    self.instances.insert(instance, Dispatcher::new(site.settings, seed, batch.now));
-                }
+                Record::Launch { seed, settings } => self.launch(instance, seed, &settings, batch.now)?,
                 Record::Kill => {
-                    self.instances.remove(&instance);
+                    self.dispatchers.remove(&instance);
                 }
-                Record::Event(event) => self.event(instance, event, batch.now, &mut reply),
-                Record::Skip => {}
+                Record::Event(event) => self.handle(instance, event, batch.now, &mut reply),
+                Record::Ignored => {}
             }
         }
-        Ok(reply.finish())
+        Ok(reply.into_frame())
     }
 
-    fn event(&mut self, instance: u16, event: Event, now: Micros, reply: &mut Reply) {
-        let Some(dispatcher) = self.instances.get_mut(&instance) else { return };
-        let mut actions: Vec<Action> = Vec::new();
+    fn launch(
+        &mut self,
+        instance: InstanceId,
+        seed: u64,
+        settings: &[u8],
+        now: Micros,
+    ) -> Result<(), HostError> {
+        let site = SiteSettings::parse(settings).map_err(|cause| HostError::Settings { instance, cause })?;
+        self.dispatchers.insert(instance, Dispatcher::new(site.settings, seed, now));
+        Ok(())
+    }
+
+    fn handle(&mut self, instance: InstanceId, event: Event, now: Micros, reply: &mut Reply) {
+        let Some(dispatcher) = self.dispatchers.get_mut(&instance) else { return };
+        let mut actions = Vec::new();
         match catch_unwind(AssertUnwindSafe(|| dispatcher.handle(event, now, &mut actions))) {
-            Ok(()) => actions.iter().for_each(|a| reply.action(instance, a)),
-            Err(cause) => {
-                let text = cause.downcast_ref::<String>().map(String::as_str);
-                let text = text.or(cause.downcast_ref::<&str>().copied()).unwrap_or("panic");
-                reply.panic(instance, text);
-                self.instances.remove(&instance);
+            Ok(()) => {
+                for action in &actions {
+                    reply.add_action(instance, action);
+                }
+            }
+            Err(payload) => {
+                reply.add_panic(instance, panic_message(payload.as_ref()));
+                self.dispatchers.remove(&instance);
             }
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use postusher_decision::{Job, JobId, ListUpdate};
-
-    const PROFILE: &str = r#"{"Permissions": {"MaxAttempts": 3}, "Unheard": 1,
-        "Rules": {"ColdFrom": 0.1, "FallMs": 1000, "OverloadFactor": 3, "WarmAfterMs": 9000},
-        "Services": [{"Effect": "repeatable", "GoalTimeMs": 250}]}"#;
-
-    fn launch() -> (u16, Record) {
-        (4, Record::Launch { seed: 1, settings: PROFILE.into() })
-    }
-
-    fn job() -> (u16, Record) {
-        let job = Job {
-            id: JobId(1),
-            class: 0,
-            deadline: 9_000_000,
-            size_hint: None,
-            slots: 1,
-            key: 0,
-            customer: 0,
-        };
-        (4, Record::Event(Event::JobArrived(job)))
-    }
-
-    #[test]
-    fn kill_and_launch_in_one_batch_forget_everything() {
-        let mut host = Host::default();
-        let list =
-            (4, Record::Event(Event::EndpointList { update: ListUpdate::Cached, endpoints: Vec::new() }));
-        let first = host.play(Batch { now: 1, records: vec![launch(), job()] }).unwrap();
-        let again = host.play(Batch { now: 1, records: vec![(4, Record::Kill), launch(), job()] }).unwrap();
-        assert_eq!(first, again, "the same job id is new to the new instance");
-        assert!(host.play(Batch { now: 2, records: vec![(4, Record::Kill), list] }).unwrap().len() == 8);
+/// The text of a caught panic.
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
+    if let Some(message) = payload.downcast_ref::<String>() {
+        return message;
     }
-
-    #[test]
-    fn bad_settings_are_named() {
-        let bad = (4, Record::Launch { seed: 1, settings: b"{\"Services\": []}".to_vec() });
-        let error = Host::default().play(Batch { now: 1, records: vec![bad] }).unwrap_err();
-        assert!(error.contains("instance 4") && error.contains("missing field"), "{error}");
+    match payload.downcast_ref::<&str>() {
+        Some(message) => message,
+        None => "panic",
     }
 }
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/codes.rs
@@ -0,0 +1,115 @@
+//! The numeric codes of the wire, each mapped to its meaning.
+
+use postusher_decision::{AttemptResult, EndpointState, ListUpdate};
+
+/// A code that has no meaning.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct UnknownCode(pub u16);
+
+/// The kinds of records in a batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum RecordCode {
+    /// A worker's call about a job.
+    JobStatusUpdate,
+    /// An answer has begun to arrive.
+    AnswerStreaming,
+    /// A scheduler starts.
+    Launch,
+    /// A health check has ended.
+    HealthCheckEnded,
+    /// The endpoint list or changes to it.
+    EndpointList,
+    /// A client submits a job.
+    JobArrived,
+    /// An attempt has ended.
+    AttemptEnded,
+    /// A client has left.
+    ClientDisconnected,
+    /// A message of another scheduler; this program sends none.
+    PeerMessage,
+    /// A scheduler is killed.
+    Kill,
+    /// A timer is due.
+    TimerExpired,
+}
+
+impl TryFrom<u16> for RecordCode {
+    type Error = UnknownCode;
+
+    fn try_from(code: u16) -> Result<RecordCode, UnknownCode> {
+        match code {
+            1 => Ok(RecordCode::JobStatusUpdate),
+            2 => Ok(RecordCode::AnswerStreaming),
+            3 => Ok(RecordCode::Launch),
+            4 => Ok(RecordCode::HealthCheckEnded),
+            5 => Ok(RecordCode::EndpointList),
+            6 => Ok(RecordCode::JobArrived),
+            7 => Ok(RecordCode::AttemptEnded),
+            8 => Ok(RecordCode::ClientDisconnected),
+            9 => Ok(RecordCode::PeerMessage),
+            10 => Ok(RecordCode::Kill),
+            11 => Ok(RecordCode::TimerExpired),
+            unknown => Err(UnknownCode(unknown)),
+        }
+    }
+}
+
+/// The kinds of records in a reply.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u16)]
+pub enum ActionCode {
+    /// Send a job to a worker.
+    StartAttempt = 65,
+    /// Reject a job.
+    Reject = 66,
+    /// Fail a job.
+    Fail = 67,
+    /// Cancel a pending attempt.
+    CancelAttempt = 68,
+    /// Start a timer.
+    SetTimer = 69,
+    /// Send a health check.
+    CheckHealth = 70,
+    /// Close the idle connections to a worker.
+    CloseIdleConnections = 71,
+    /// The dispatcher has panicked and is gone.
+    Panicked = 74,
+    /// Call discovery for the endpoint list.
+    WatchEndpoints = 75,
+}
+
+/// Maps the code of an attempt's result. Most are HTTP status codes.
+pub fn attempt_result(code: u16) -> Result<AttemptResult, UnknownCode> {
+    match code {
+        200 => Ok(AttemptResult::Success),
+        408 => Ok(AttemptResult::TimedOut),
+        409 => Ok(AttemptResult::NotSent),
+        429 => Ok(AttemptResult::Overloaded),
+        444 => Ok(AttemptResult::Cancelled),
+        502 => Ok(AttemptResult::Error),
+        520 => Ok(AttemptResult::Reset),
+        521 => Ok(AttemptResult::ConnectFailed),
+        unknown => Err(UnknownCode(unknown)),
+    }
+}
+
+/// Maps the code of an endpoint's state.
+pub fn endpoint_state(code: u8) -> Result<EndpointState, UnknownCode> {
+    match code {
+        0 => Ok(EndpointState::Removed),
+        1 => Ok(EndpointState::Ready),
+        2 => Ok(EndpointState::Draining),
+        unknown => Err(UnknownCode(unknown.into())),
+    }
+}
+
+/// Maps the code of how an endpoint list arrived.
+pub fn list_update(code: u8) -> Result<ListUpdate, UnknownCode> {
+    match code {
+        0 => Ok(ListUpdate::Changes),
+        1 => Ok(ListUpdate::Complete),
+        2 => Ok(ListUpdate::Cached),
+        3 => Ok(ListUpdate::Failed),
+        unknown => Err(UnknownCode(unknown.into())),
+    }
+}
