--- a/crates/setup/src/units.rs
+++ b/crates/setup/src/units.rs
@@ -1,161 +1,248 @@
-//! Values with their units. What cannot be read comes back as what to write instead.
+//! Reads values of attributes, with their units. The error of each function says what to write instead.
+
+#[cfg(test)]
+mod tests;
+
+use std::net::{Ipv6Addr, SocketAddr};
+use std::ops::RangeInclusive;
+use thiserror::Error;
+
+/// The largest whole number that the schema allows.
+const MAX_COUNT: usize = 1_000_000_000;
+/// More digits than these are not read.
+const MAX_DIGITS: usize = 15;
+/// The longest name of a host, in bytes (RFC 1035, 2.3.4).
+const MAX_HOST_BYTES: usize = 253;
+/// The longest name of a worker, a route or a pool, in bytes.
+const MAX_LABEL_BYTES: usize = 128;
+/// The longest name of a class, in bytes.
+const MAX_CLASS_BYTES: usize = 64;
+const WEIGHTS: RangeInclusive<f64> = 0.01..=1000.0;
+const FRACTIONS: RangeInclusive<f64> = 0.0..=0.9;
+const SIZES_IN_BYTES: RangeInclusive<f64> = 1.0..=1e15;
+
+/// Why a value cannot be read: what to write instead.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum ValueError {
+    /// A whole number from 1 is needed.
+    #[error("write a whole number from 1 to {MAX_COUNT}")]
+    Count,
+    /// A whole number of one byte is needed.
+    #[error("write a whole number from 0 to 255")]
+    SmallNumber,
+    /// A number of attempts is needed.
+    #[error("write a whole number from 1 to 16")]
+    Attempts,
+    /// A size is needed.
+    #[error("write a number with KiB, MiB or GiB, such as 64MiB")]
+    Bytes,
+    /// A length of time is needed.
+    #[error("write a number with ms, s, min or h, such as 500ms or 2s")]
+    Duration,
+    /// A length of time that is not 0 is needed.
+    #[error("write a time above 0, such as 60s")]
+    PositiveDuration,
+    /// A part of the whole is needed.
+    #[error("write a part from 0% to 90%, such as 15%")]
+    Fraction,
+    /// A weight is needed.
+    #[error("write a number from 0.01 to 1000, such as 2")]
+    Weight,
+    /// An address to listen at is needed.
+    #[error("write IP:PORT, such as 127.0.0.1:8080 or [::1]:8080")]
+    Address,
+    /// An address that others can connect to is needed.
+    #[error("write IP:PORT as others reach it, such as 127.0.0.11:7946")]
+    FixedAddress,
+    /// The address of a worker is needed.
+    #[error("write HOST:PORT, such as 127.0.0.1:9001 or app1.example.org:8080")]
+    WorkerAddress,
+    /// One of several words is needed.
+    #[error("write one of {}", .allowed.join(", "))]
+    Word {
+        /// The words.
+        allowed: Vec<&'static str>,
+    },
+    /// The name of a worker, a route or a pool is needed.
+    #[error("write letters, digits, '-', '_', '.', ':' and '~', 128 at most")]
+    Label,
+    /// The name of a class is needed.
+    #[error("write letters, digits, '-', '_' and '.', 64 at most")]
+    ClassName,
+    /// A path is needed.
+    #[error("write a path from the root on, such as /app")]
+    Path,
+    /// The name of a host is needed.
+    #[error("write a host in small letters, such as app.example.org")]
+    Host,
+}
 
 /// A whole number from 1.
-pub fn count(text: &str) -> Result<usize, String> {
-    let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-    let number = text.parse().ok().filter(|n| digits && (1..=1_000_000_000).contains(n));
-    number.ok_or_else(|| "write a whole number from 1 to 1000000000".into())
+pub fn count(text: &str) -> Result<usize, ValueError> {
+    if !is_digits(text) {
+        return Err(ValueError::Count);
+    }
+    match text.parse() {
+        Ok(number) if (1..=MAX_COUNT).contains(&number) => Ok(number),
+        _ => Err(ValueError::Count),
+    }
 }
 
-/// A number without a sign, as the schema has it: digits, perhaps with a part behind the point.
-fn decimal(text: &str) -> Option<f64> {
-    let (whole, part) = text.split_once('.').map_or((text, "0"), |(whole, part)| (whole, part));
-    let digits = |t: &str| !t.is_empty() && t.len() <= 15 && t.bytes().all(|b| b.is_ascii_digit());
-    (digits(whole) && digits(part)).then(|| text.parse().ok()).flatten()
+/// A whole number from 0 to 255.
+pub fn small(text: &str) -> Result<u32, ValueError> {
+    if !is_digits(text) || text.len() > 3 {
+        return Err(ValueError::SmallNumber);
+    }
+    match text.parse() {
+        Ok(number) if number <= 255 => Ok(number),
+        _ => Err(ValueError::SmallNumber),
+    }
 }
 
-fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
-    let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%');
-    let unit = &text[number.len()..];
-    let factor = units.iter().find(|(name, _)| *name == unit)?.1;
-    Some(decimal(number)? * factor)
+/// The most attempts for one request.
+pub fn attempts(text: &str) -> Result<u32, ValueError> {
+    match small(text) {
+        Ok(number) if (1..=16).contains(&number) => Ok(number),
+        _ => Err(ValueError::Attempts),
+    }
 }
 
-/// Bytes: `KiB`, `MiB` or `GiB`.
-pub fn bytes(text: &str) -> Result<usize, String> {
+/// A size in bytes, which is written with `KiB`, `MiB` or `GiB`.
+pub fn bytes(text: &str) -> Result<usize, ValueError> {
     let units = [("KiB", 1024.0), ("MiB", 1024.0 * 1024.0), ("GiB", 1024.0 * 1024.0 * 1024.0)];
-    let size = with_unit(text, &units).filter(|b| (1.0..=1e15).contains(b));
-    size.map(|b| b as usize).ok_or_else(|| "write a number with KiB, MiB or GiB, such as 64MiB".into())
+    match number_with_unit(text, &units) {
+        Some(size) if SIZES_IN_BYTES.contains(&size) => Ok(size as usize),
+        _ => Err(ValueError::Bytes),
+    }
 }
 
-/// A length of time in milliseconds: `ms`, `s`, `min` or `h`.
-pub fn duration(text: &str) -> Result<f64, String> {
+/// A length of time in milliseconds, which is written with `ms`, `s`, `min` or `h`.
+pub fn duration(text: &str) -> Result<f64, ValueError> {
     let units = [("ms", 1.0), ("s", 1e3), ("min", 60e3), ("h", 3_600e3)];
-    with_unit(text, &units).ok_or_else(|| "write a number with ms, s, min or h, such as 500ms or 2s".into())
+    number_with_unit(text, &units).ok_or(ValueError::Duration)
 }
 
-/// One that is not 0.
-pub fn positive_duration(text: &str) -> Result<f64, String> {
-    let longer = |ms: f64| if ms > 0.0 { Ok(ms) } else { Err("write a time above 0, such as 60s".into()) };
-    duration(text).and_then(longer)
+/// A length of time in milliseconds that is not 0.
+pub fn positive_duration(text: &str) -> Result<f64, ValueError> {
+    let millis = duration(text)?;
+    if millis > 0.0 {
+        Ok(millis)
+    } else {
+        Err(ValueError::PositiveDuration)
+    }
 }
 
-/// A part of the whole: `0%` to `90%`.
-pub fn part(text: &str) -> Result<f64, String> {
-    let part = with_unit(text, &[("%", 0.01)]).filter(|p| (0.0..=0.9).contains(p));
-    part.ok_or_else(|| "write a part from 0% to 90%, such as 15%".into())
+/// A part of the whole from 0 to 0.9, which is written as a percentage.
+pub fn fraction(text: &str) -> Result<f64, ValueError> {
+    match number_with_unit(text, &[("%", 0.01)]) {
+        Some(fraction) if FRACTIONS.contains(&fraction) => Ok(fraction),
+        _ => Err(ValueError::Fraction),
+    }
 }
 
 /// A weight: above 0.
-pub fn weight(text: &str) -> Result<f64, String> {
-    let weight = decimal(text).filter(|w| (0.01..=1000.0).contains(w));
-    weight.ok_or_else(|| "write a number from 0.01 to 1000, such as 2".into())
+pub fn weight(text: &str) -> Result<f64, ValueError> {
+    match decimal(text) {
+        Some(weight) if WEIGHTS.contains(&weight) => Ok(weight),
+        _ => Err(ValueError::Weight),
+    }
 }
 
 /// An address to listen at.
-pub fn address(text: &str) -> Result<std::net::SocketAddr, String> {
-    text.parse().map_err(|_| "write IP:PORT, such as 127.0.0.1:8080 or [::1]:8080".into())
+pub fn address(text: &str) -> Result<SocketAddr, ValueError> {
+    text.parse().map_err(|_| ValueError::Address)
 }
 
-/// An address that others are told of: not any port.
-pub fn fixed_address(text: &str) -> Result<std::net::SocketAddr, String> {
-    let fixed = text
-        .parse()
-        .ok()
-        .filter(|addr: &std::net::SocketAddr| addr.port() != 0 && !addr.ip().is_unspecified());
-    fixed.ok_or_else(|| "write IP:PORT as others reach it, such as 127.0.0.11:7946".into())
+/// An address that others are told of: with a port of its own, and not that of all interfaces.
+pub fn fixed_address(text: &str) -> Result<SocketAddr, ValueError> {
+    match text.parse::<SocketAddr>() {
+        Ok(addr) if addr.port() != 0 && !addr.ip().is_unspecified() => Ok(addr),
+        _ => Err(ValueError::FixedAddress),
+    }
 }
 
 /// Where a worker listens: a name or an address, and a port.
-pub fn place(text: &str) -> Result<String, String> {
-    let instead = || "write HOST:PORT, such as 127.0.0.1:9001 or app1.example.org:8080".to_string();
-    let (host, port) = text.rsplit_once(':').ok_or_else(instead)?;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    let v6 = |h: &str| {
-        h.strip_prefix('[')
-            .and_then(|h| h.strip_suffix(']'))
-            .is_some_and(|h| h.parse::<std::net::Ipv6Addr>().is_ok())
-    };
-    let named = (1..=253).contains(&host.len()) && host.bytes().all(plain);
-    let good = (named || v6(host)) && port.bytes().all(|b| b.is_ascii_digit());
-    let port = port.parse::<u16>().ok().filter(|p| good && *p > 0);
-    port.map(|_| text.to_string()).ok_or_else(instead)
-}
-
-/// One of several words.
-pub fn word<T: Copy>(words: &'static [(&'static str, T)]) -> impl Fn(&str) -> Result<T, String> {
-    move |text| {
-        let all: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        let found = words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
-        found.ok_or_else(|| format!("write one of {}", all.join(", ")))
+pub fn worker_address(text: &str) -> Result<String, ValueError> {
+    let (host, port) = text.rsplit_once(':').ok_or(ValueError::WorkerAddress)?;
+    let is_name = is_name_of(host, MAX_HOST_BYTES, "-_.");
+    if !(is_name || is_bracketed_ipv6(host)) || !is_digits(port) {
+        return Err(ValueError::WorkerAddress);
+    }
+    match port.parse::<u16>() {
+        Ok(port) if port > 0 => Ok(text.to_string()),
+        _ => Err(ValueError::WorkerAddress),
+    }
+}
+
+/// One of several words; gives what it stands for.
+pub fn word<T: Copy>(words: &'static [(&'static str, T)]) -> impl Fn(&str) -> Result<T, ValueError> {
+    move |text| match words.iter().find(|(word, _)| *word == text) {
+        Some((_, meaning)) => Ok(*meaning),
+        None => Err(ValueError::Word { allowed: words.iter().map(|(word, _)| *word).collect() }),
     }
 }
 
 /// A name of a worker, a route or a pool.
-pub fn label(text: &str) -> Result<String, String> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'~');
-    let good = (1..=128).contains(&text.len()) && text.bytes().all(plain);
-    let instead = "write letters, digits, '-', '_', '.', ':' and '~', 128 at most";
-    good.then(|| text.to_string()).ok_or_else(|| instead.into())
+pub fn label(text: &str) -> Result<String, ValueError> {
+    checked(text, is_name_of(text, MAX_LABEL_BYTES, "-_.:~"), ValueError::Label)
+}
+
+/// The name of a class.
+pub fn class_name(text: &str) -> Result<String, ValueError> {
+    checked(text, is_name_of(text, MAX_CLASS_BYTES, "-_."), ValueError::ClassName)
 }
 
 /// A path from the root on.
-pub fn path(text: &str) -> Result<String, String> {
-    let good =
-        text.starts_with('/') && text.bytes().all(|b| b.is_ascii_graphic()) && !text.contains(['?', '#']);
-    good.then(|| text.to_string()).ok_or_else(|| "write a path from the root on, such as /app".into())
+pub fn path(text: &str) -> Result<String, ValueError> {
+    let is_printable = text.bytes().all(|byte| byte.is_ascii_graphic());
+    let is_path = text.starts_with('/') && is_printable && !text.contains(['?', '#']);
+    checked(text, is_path, ValueError::Path)
 }
 
-/// A small whole number, from 0.
-pub fn small(text: &str) -> Result<u32, String> {
-    let digits = (1..=3).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_digit());
-    let number = text.parse().ok().filter(|n| digits && *n <= 255);
-    number.ok_or_else(|| "write a whole number from 0 to 255".into())
+/// A host as a request names it, in small letters and without a port.
+pub fn host(text: &str) -> Result<String, ValueError> {
+    let is_lowercase = !text.bytes().any(|byte| byte.is_ascii_uppercase());
+    checked(text, is_lowercase && is_name_of(text, MAX_HOST_BYTES, "-."), ValueError::Host)
 }
 
-/// Attempts for one request.
-pub fn attempts(text: &str) -> Result<u32, String> {
-    small(text)
-        .ok()
-        .filter(|n| (1..=16).contains(n))
-        .ok_or_else(|| "write a whole number from 1 to 16".into())
+fn checked(text: &str, is_valid: bool, error: ValueError) -> Result<String, ValueError> {
+    if is_valid {
+        Ok(text.to_string())
+    } else {
+        Err(error)
+    }
 }
 
-/// A host as a request names it, in small letters and without a port.
-pub fn host(text: &str) -> Result<String, String> {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || matches!(b, b'-' | b'.');
-    let good = (1..=253).contains(&text.len()) && text.bytes().all(plain);
-    good.then(|| text.to_string())
-        .ok_or_else(|| "write a host in small letters, such as app.example.org".into())
+/// Whether a text is 1 to `max_bytes` letters, digits and characters of `others`.
+fn is_name_of(text: &str, max_bytes: usize, others: &str) -> bool {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || others.contains(c);
+    (1..=max_bytes).contains(&text.len()) && text.chars().all(is_allowed)
 }
 
-/// The name of a class.
-pub fn name(text: &str) -> Result<String, String> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    let good = (1..=64).contains(&text.len()) && text.bytes().all(plain);
-    good.then(|| text.to_string()).ok_or_else(|| "write letters, digits, '-', '_' and '.', 64 at most".into())
+fn is_digits(text: &str) -> bool {
+    !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn values_have_units_and_bounds() {
-        assert_eq!((bytes("64MiB"), bytes("1.5KiB")), (Ok(64 << 20), Ok(1536)));
-        assert_eq!((duration("500ms"), duration("1.5s"), duration("2h")), (Ok(500.0), Ok(1500.0), Ok(7.2e6)));
-        assert_eq!((part("15%"), weight("2.5"), count("7")), (Ok(0.15), Ok(2.5), Ok(7)));
-        for bad in ["", "5", "s", "-1s", "1e3s", "5 s", "5S", "1.s", ".5s", "NaNs", "infs", "5ss"] {
-            assert!(duration(bad).is_err(), "{bad}");
-        }
-        assert!(positive_duration("0s").is_err() && duration("0s").is_ok());
-        for bad in ["0", "-1", "+1", "1.5", "x", "", "99999999999"] {
-            assert!(count(bad).is_err(), "{bad}");
+fn is_bracketed_ipv6(host: &str) -> bool {
+    let inner = host.strip_prefix('[').and_then(|rest| rest.strip_suffix(']'));
+    inner.is_some_and(|address| address.parse::<Ipv6Addr>().is_ok())
+}
+
+/// A number without a sign, as the schema has it: digits, and perhaps digits after a point.
+fn decimal(text: &str) -> Option<f64> {
+    let (whole, fraction) = text.split_once('.').unwrap_or((text, "0"));
+    for digits in [whole, fraction] {
+        if !is_digits(digits) || digits.len() > MAX_DIGITS {
+            return None;
         }
-        assert!(bytes("64").is_err() && bytes("64MB").is_err() && bytes("0KiB").is_err());
-        assert!(
-            part("91%").is_err() && part("0.5").is_err() && weight("0").is_err() && weight("1001").is_err()
-        );
-        assert!(name("fund-batch").is_ok() && name("a b").is_err() && name("").is_err());
     }
+    text.parse().ok()
+}
+
+/// A number followed by one of these units; gives the number times the unit's factor.
+fn number_with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
+    let number = text.trim_end_matches(|c: char| c.is_ascii_alphabetic() || c == '%');
+    let unit = &text[number.len()..];
+    let (_, factor) = units.iter().find(|(name, _)| *name == unit)?;
+    Some(decimal(number)? * factor)
 }
--- a/crates/setup/tests/samples.rs
+++ b/crates/setup/tests/samples.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_schema_and_the_reader_agree_on_every_sample() {
+fn schema_and_reader_agree_on_every_sample() {
     for path in samples("good") {
         let text = std::fs::read_to_string(&path).unwrap();
         assert_eq!(read(&text).err(), None, "{}", path.display());
@@ -55,30 +55,36 @@
 }
 
 #[test]
-fn a_file_names_itself_in_each_line_and_what_is_no_text_says_so() {
+fn load_errors_name_the_file_in_each_line() {
     let many = Path::new(env!("CARGO_MANIFEST_DIR")).join("samples/bad/many.xml");
-    let lines = load(&many).unwrap_err();
+    let lines = load(&many).unwrap_err().to_string();
     assert!(lines.lines().count() == 5 && lines.lines().all(|l| l.contains("many.xml:")), "{lines}");
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("latin1.xml");
     std::fs::write(&path, b"<postusher>\n<!-- caf\xe9 --></postusher>").unwrap();
-    assert!(load(&path).unwrap_err().contains("latin1.xml:2:1: this is not UTF-8"));
-    assert!(load(Path::new("no/such.xml")).unwrap_err().contains("no/such.xml"));
+    assert!(load(&path).unwrap_err().to_string().contains("latin1.xml:2:1: this is not UTF-8"));
+    assert!(load(Path::new("no/such.xml")).unwrap_err().to_string().contains("no/such.xml"));
 }
 
 #[test]
-fn what_is_not_said_has_its_default_and_what_is_said_counts() {
+fn absent_attributes_have_defaults_and_present_ones_override_them() {
     assert_eq!(read("<postusher/>").unwrap(), Setup::default());
     let all = Path::new(env!("CARGO_MANIFEST_DIR")).join("samples/good/all.xml");
-    let w = load(&all).unwrap().waiting.unwrap();
-    assert_eq!((w.jobs, w.bytes, w.per_client, w.remembered), (20_000, 16 << 20, 10, 5_000));
-    assert_eq!((w.remember_for, w.grace, w.longest, w.ageing), (7_200_000.0, 750.0, 90_000.0, 1_500.0));
-    assert_eq!((w.reserve, w.weights["fund-batch"], w.weights.len()), (0.125, 4.0, 2));
-    let limits = w.limits(["debtor-check", "fund-batch"].into_iter());
+    let deferred = load(&all).unwrap().waiting.unwrap();
+    assert_eq!(
+        (deferred.jobs, deferred.bytes, deferred.per_client, deferred.remembered),
+        (20_000, 16 << 20, 10, 5_000)
+    );
+    assert_eq!(
+        (deferred.remember_for, deferred.grace, deferred.longest, deferred.ageing),
+        (7_200_000.0, 750.0, 90_000.0, 1_500.0)
+    );
+    assert_eq!((deferred.reserve, deferred.weights["fund-batch"], deferred.weights.len()), (0.125, 4.0, 2));
+    let limits = deferred.limits(["debtor-check", "fund-batch"].into_iter());
     assert_eq!((limits.weights, limits.reserve), (vec![1.0, 4.0], 0.125));
 }
 
 #[test]
-fn members_are_read_whole_and_a_suspicion_that_is_too_short_says_how_long_it_must_be() {
+fn members_are_read_and_too_short_suspicion_is_a_mistake() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("samples/good/members.xml");
     let members = load(&path).unwrap().members.unwrap();
     let config = members.config;
