--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,13 +1,23 @@
-//! For workers that answer requests themselves: who keeps the shares and the sessions ([`Keeper`]), which pool serves a
-//! request ([`Routes`]), and HTTP/1.1 read and written in pieces ([`Reader`]). State machines without I/O or clock.
-#![forbid(unsafe_code)]
+//! Direct pools, whose workers answer HTTP requests themselves: which worker a request should go to
+//! ([`StickySessions`]), which pool serves it ([`Routes`]), which session it belongs to ([`session_route`]), and
+//! HTTP/1.1 messages read and written in pieces ([`MessageReader`]). State machines without I/O or clock.
 
-mod keeper;
 mod message;
+mod old_names;
 mod routes;
+mod session;
+mod sticky_sessions;
 
-pub use keeper::{Keeper, Listing, Proposal};
 pub use message::{
-    request_head, response_head, Framing, Head, Line, Piece, Reader, Wrong, CHUNKS_END, MOST_HEAD,
+    request_head, Framing, Head, MessageReader, ParseError, Piece, ResponseConnection, ResponseHead,
+    StartLine, LAST_CHUNK, MAX_HEAD_BYTES,
 };
-pub use routes::{session, Routes};
+pub use old_names::{response_head, Wrong};
+pub use routes::{RouteMatch, Routes};
+pub use session::session_route;
+pub use sticky_sessions::{Listing, Proposal, StickySessions};
+
+// Names that the event loop of direct pools still has.
+pub use message::{MessageReader as Reader, LAST_CHUNK as CHUNKS_END};
+pub use session::session_route as session;
+pub use sticky_sessions::StickySessions as Keeper;
--- /dev/null
+++ b/crates/direct/src/message/tests.rs
@@ -0,0 +1,127 @@
+use super::{
+    request_head, Framing, MessageReader, ParseError, Piece, ResponseConnection, ResponseHead, MAX_HEAD_BYTES,
+};
+use proptest::prelude::*;
+
+/// All pieces of a text that comes in parts of this size, bodies joined.
+fn pieces(requests: bool, text: &[u8], size: usize) -> Result<Vec<Piece>, ParseError> {
+    let mut reader = if requests { MessageReader::for_requests() } else { MessageReader::for_responses() };
+    let mut all = Vec::<Piece>::new();
+    for part in text.chunks(size.max(1)) {
+        reader.feed(part);
+        while let Some(piece) = reader.next_piece()? {
+            match (all.last_mut(), piece) {
+                (Some(Piece::Body(before)), Piece::Body(more)) => before.extend(more),
+                (_, piece) => all.push(piece),
+            }
+        }
+    }
+    Ok(all)
+}
+
+#[test]
+fn messages_are_read_from_parts_of_any_size() {
+    let text = b"\r\nPOST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcPUT /b HTTP/1.1\r\nTransfer-Encoding: Chunked\r\n\r\n\
+        2;x=y\r\nde\r\n1\r\nf\r\n0\r\nX-T: 1\r\n\r\nGET /c HTTP/1.0\r\n\r\n";
+    let whole = pieces(true, text, 9_999).unwrap();
+    let body = |n: usize| if let Piece::Body(b) = &whole[n] { b.clone() } else { panic!("{whole:?}") };
+    assert_eq!((whole.len(), body(1), body(4)), (8, b"abc".to_vec(), b"def".to_vec()));
+    (1..60).for_each(|size| assert_eq!(pieces(true, text, size).unwrap(), whole));
+    let Piece::Head(last) = &whole[6] else { panic!() };
+    assert!(!last.keeps && !last.modern && last.framing == Framing::None);
+}
+
+#[test]
+fn ambiguous_and_malformed_framing_is_rejected() {
+    for (headers, status) in [
+        ("Content-Length: 3\r\nTransfer-Encoding: chunked\r\n", 400),
+        ("Content-Length: 3\r\nContent-Length: 4\r\n", 400),
+        ("Content-Length: 3, 4\r\n", 400),
+        ("Content-Length: +3\r\n", 400),
+        ("Content-Length: \r\n", 400),
+        ("Content-Length: 99999999999999999999\r\n", 400),
+        ("Transfer-Encoding: gzip, chunked\r\n", 501),
+        ("Transfer-Encoding: chunked, chunked\r\n", 501),
+    ] {
+        let text = format!("POST / HTTP/1.1\r\n{headers}\r\n");
+        assert_eq!(pieces(true, text.as_bytes(), 7).err().map(ParseError::status), Some(status), "{headers}");
+    }
+    let chunks = |body: &str| {
+        pieces(true, format!("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{body}").as_bytes(), 3)
+    };
+    for bad in ["x\r\n", "\r\n", "-1\r\n", "1\r\nabc\r\n", "1\nb\r\n", "fffffffffffffffff\r\n"] {
+        assert_eq!(chunks(bad).map_err(ParseError::status), Err(400), "{bad:?}");
+    }
+    let long = format!("GET / HTTP/1.1\r\nX: {}\r\n", "y".repeat(MAX_HEAD_BYTES));
+    assert_eq!(pieces(true, long.as_bytes(), 999).map_err(ParseError::status), Err(431));
+}
+
+#[test]
+fn response_framing_depends_on_status_and_request_method() {
+    let one = |text: &str, headless| {
+        let mut reader = MessageReader::for_responses();
+        reader.headless = headless;
+        reader.feed(text.as_bytes());
+        let Ok(Some(Piece::Head(head))) = reader.next_piece() else { panic!() };
+        (head.framing, head.keeps, reader.next_piece().unwrap())
+    };
+    assert_eq!(
+        one("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", true),
+        (Framing::None, true, Some(Piece::End))
+    );
+    assert_eq!(
+        one("HTTP/1.1 304 N\r\nContent-Length: 3\r\n\r\n", false),
+        (Framing::None, true, Some(Piece::End))
+    );
+    assert_eq!(
+        one("HTTP/1.1 200 OK\r\n\r\nab", false),
+        (Framing::Close, false, Some(Piece::Body(b"ab".to_vec())))
+    );
+    let mut reader = MessageReader::for_responses();
+    reader.feed(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 N\r\n\r\n");
+    let statuses: Vec<u16> = std::iter::from_fn(|| reader.next_piece().unwrap())
+        .filter_map(|p| if let Piece::Head(h) = p { Some(h.status()) } else { None })
+        .collect();
+    assert_eq!(statuses, [100, 204]);
+    let mut open = MessageReader::for_responses();
+    open.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\na");
+    while open.next_piece().unwrap().is_some() {}
+    assert!(!open.end_of_input()); // two bytes are missing
+}
+
+#[test]
+fn hop_by_hop_headers_are_not_passed_on() {
+    let text = "POST /x HTTP/1.1\r\nHost: h\r\nConnection: close, X-Hop\r\nX-Hop: 1\r\nTE: trailers\r\nX-Own: 2\r\nX-Own: 3\r\n\
+        Expect: 100-continue\r\nContent-Length: 2\r\n\r\n";
+    let Ok(all) = pieces(true, text.as_bytes(), 999) else { panic!() };
+    let Piece::Head(head) = &all[0] else { panic!() };
+    assert!(head.expects_continue() && !head.keeps);
+    let out = String::from_utf8(request_head(head, "/y")).unwrap();
+    assert_eq!(out, "POST /y HTTP/1.1\r\nHost: h\r\nX-Own: 2\r\nX-Own: 3\r\nContent-Length: 2\r\n\r\n");
+    let answer = "HTTP/1.1 200 Fine\r\nTransfer-Encoding: chunked\r\nKeep-Alive: 5\r\nSet-Cookie: a\r\n\r\n";
+    let Ok(all) = pieces(false, answer.as_bytes(), 999) else { panic!() };
+    let Piece::Head(head) = &all[0] else { panic!() };
+    let http_1_0 = ResponseConnection { client_is_modern: false, is_head_request: false, keep_open: true };
+    let response = ResponseHead::new(head, http_1_0);
+    let expected = "HTTP/1.1 200 Fine\r\nSet-Cookie: a\r\nConnection: close\r\n\r\n";
+    assert_eq!(String::from_utf8(response.bytes).unwrap(), expected);
+    assert_eq!((response.framing, response.keep_open), (Framing::Close, false));
+    let response = ResponseHead::new(head, ResponseConnection { client_is_modern: true, ..http_1_0 });
+    assert!(String::from_utf8(response.bytes).unwrap().contains("Transfer-Encoding: chunked"));
+    assert_eq!((response.framing, response.keep_open), (Framing::Chunked, true));
+}
+
+proptest! {
+    #[test]
+    fn any_bytes_are_read_or_rejected(
+        text in "(GET / HTTP/1\\.1\r\n|HTTP/1\\.1 200 OK\r\n|Content-Length: [0-9]{1,3}\r\n|Transfer-Encoding: chunked\r\n|\r\n|[0-9a-f]{1,3}\r\n|[ -~]{0,20}){0,12}",
+        size in 1usize..40,
+        requests in any::<bool>(),
+    ) {
+        let whole = pieces(requests, text.as_bytes(), 9_999);
+        if let Err(error) = whole {
+            prop_assert!([400, 431, 501].contains(&error.status()));
+        }
+        prop_assert_eq!(pieces(requests, text.as_bytes(), size).is_ok(), whole.is_ok());
+    }
+}
--- a/crates/direct/src/routes.rs
+++ b/crates/direct/src/routes.rs
@@ -1,124 +1,120 @@
-//! Which pool serves a request, and at which path; and the session that a request names.
+//! Which pool serves a request, and for which target its worker is asked.
+
+#[cfg(test)]
+mod tests;
 
 use postusher_setup::pool::begins;
-use postusher_setup::{Pool, Route, Sticky};
+use postusher_setup::{Pool, Route};
+use std::cmp::Reverse;
 
+/// Where requests of a host at or below a path go.
 struct Entry {
+    /// The host in lower case; `None`: any.
     host: Option<String>,
     path: String,
-    to: Option<String>,
+    /// What takes the place of the path.
+    replacement: Option<String>,
+    /// The pool, by number.
     pool: usize,
 }
 
-/// The routes of all pools: those that name the host come first, then the longest path.
+/// Requests that a pool does not serve.
+struct Exception {
+    /// The host in lower case; `None`: any.
+    host: Option<String>,
+    path: String,
+}
+
+/// The pool that serves a request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RouteMatch {
+    /// The pool, by number.
+    pub pool: usize,
+    /// The target of the request to the worker.
+    pub target: String,
+}
+
+/// The routes of all pools: those that name a host before others, then longer paths before shorter ones.
 pub struct Routes {
     entries: Vec<Entry>,
     /// By pool.
-    exceptions: Vec<Vec<(Option<String>, String)>>,
+    exceptions: Vec<Vec<Exception>>,
 }
 
 impl Routes {
-    /// Of these pools.
+    /// The routes of these pools. A pool without routes serves all requests.
     pub fn new(pools: &[Pool]) -> Routes {
-        let (mut entries, mut exceptions) = (Vec::new(), Vec::new());
-        for (pool, p) in pools.iter().enumerate() {
-            let path = |r: &Route| r.path.clone().unwrap_or_else(|| "/".into());
-            let (except, serve): (Vec<&Route>, Vec<&Route>) = p.routes.iter().partition(|r| r.except);
-            let everything = [&Route::default()];
-            let serve = if serve.is_empty() { &everything[..] } else { &serve[..] };
-            let entry = |r: &&Route| Entry { host: r.host.clone(), path: path(r), to: r.to.clone(), pool };
-            entries.extend(serve.iter().map(entry));
-            exceptions.push(except.into_iter().map(|r| (r.host.clone(), path(r))).collect());
+        let mut entries = Vec::new();
+        let mut exceptions = Vec::new();
+        for (number, pool) in pools.iter().enumerate() {
+            let entries_before = entries.len();
+            let mut exceptions_of_pool = Vec::new();
+            for route in &pool.routes {
+                if route.except {
+                    exceptions_of_pool.push(Exception { host: route.host.clone(), path: path_of(route) });
+                } else {
+                    entries.push(entry(route, number));
+                }
+            }
+            if entries.len() == entries_before {
+                entries.push(entry(&Route::default(), number));
+            }
+            exceptions.push(exceptions_of_pool);
         }
-        let rank = |e: &Entry| (e.host.is_none(), std::cmp::Reverse(e.path.trim_end_matches('/').len()));
-        entries.sort_by_key(rank);
+        entries.sort_by_key(|entry| {
+            let path_length = entry.path.trim_end_matches('/').len();
+            (entry.host.is_none(), Reverse(path_length))
+        });
         Routes { entries, exceptions }
     }
 
-    /// The pool that serves a request, by number, and the target that its worker is asked for.
-    pub fn find(&self, host: &str, target: &str) -> Option<(usize, String)> {
-        let host = host.to_ascii_lowercase();
-        let host = match host.rfind(':') {
-            Some(at) if !host[at..].contains(']') => &host[..at],
-            _ => host.as_str(),
-        };
-        let path = target.split(['?', '#']).next().unwrap_or("");
-        let here = |h: &Option<String>| h.as_deref().is_none_or(|h| h == host);
-        let fits = |e: &&Entry| {
-            let but =
-                |(h, p): &(Option<String>, String)| here(h) && begins(path, p) && p.len() >= e.path.len();
-            here(&e.host) && begins(path, &e.path) && !self.exceptions[e.pool].iter().any(but)
-        };
-        let e = self.entries.iter().find(fits)?;
-        let Some(to) = &e.to else { return Some((e.pool, target.to_string())) };
-        let rest = &target[e.path.trim_end_matches('/').len()..];
-        let joined = match rest.strip_prefix('/') {
-            Some(rest) => format!("{}/{rest}", to.trim_end_matches('/')),
-            None => format!("{to}{rest}"),
-        };
-        Some((e.pool, joined))
+    /// The pool that serves a request; `host` is the value of its `Host` header. `None`: no pool does.
+    pub fn find_route(&self, host: &str, target: &str) -> Option<RouteMatch> {
+        let host = without_port(host).to_ascii_lowercase();
+        let path = target.split(['?', '#']).next().unwrap_or_default();
+        let entry = self.entries.iter().find(|entry| self.serves(entry, &host, path))?;
+        Some(RouteMatch { pool: entry.pool, target: worker_target(entry, target) })
+    }
+
+    fn serves(&self, entry: &Entry, host: &str, path: &str) -> bool {
+        if !host_matches(entry.host.as_deref(), host) || !begins(path, &entry.path) {
+            return false;
+        }
+        // An exception outweighs routes whose path is not longer than its own.
+        !self.exceptions[entry.pool].iter().any(|exception| {
+            host_matches(exception.host.as_deref(), host)
+                && begins(path, &exception.path)
+                && exception.path.len() >= entry.path.len()
+        })
     }
 }
 
-/// The route that a request names: what stands behind the last point of its cookie or parameter.
-pub fn session<'a>(
-    sticky: &Sticky,
-    target: &'a str,
-    cookies: impl Iterator<Item = &'a str>,
-) -> Option<&'a str> {
-    let route = |value: &'a str| value.rsplit_once('.').map(|(_, route)| route).filter(|r| !r.is_empty());
-    let named = |pairs: &'a str, by: [char; 2], name: &str| {
-        let mut all = pairs.split(by).filter_map(|p| p.trim().split_once('='));
-        all.find(|(n, _)| n.eq_ignore_ascii_case(name)).and_then(|(_, value)| route(value.trim_matches('"')))
-    };
-    // The parameter counts for more: a client without cookies has a new one from its links.
-    let by_path = sticky.path.as_ref().and_then(|name| {
-        let (path, query) = target.split_once('?').unwrap_or((target, ""));
-        let parameters = path.split_once(';').map_or("", |(_, p)| p);
-        named(parameters, [';', '/'], name).or_else(|| named(query, ['&', ';'], name))
-    });
-    let cookie = sticky.cookie.as_ref();
-    by_path.or_else(|| cookie.and_then(|name| cookies.into_iter().find_map(|c| named(c, [';', ','], name))))
+fn entry(route: &Route, pool: usize) -> Entry {
+    Entry { host: route.host.clone(), path: path_of(route), replacement: route.to.clone(), pool }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+fn path_of(route: &Route) -> String {
+    route.path.clone().unwrap_or_else(|| "/".into())
+}
 
-    fn pools(text: &str) -> Vec<Pool> {
-        postusher_setup::read(&format!("<postusher>{text}</postusher>")).unwrap().pools
-    }
+fn host_matches(wanted: Option<&str>, host: &str) -> bool {
+    wanted.is_none_or(|wanted| wanted == host)
+}
 
-    #[test]
-    fn the_host_then_the_longest_path_wins_and_exceptions_hold() {
-        let worker = "<worker id=\"w\" addr=\"h:1\"/>";
-        let text = format!(
-            "<pool name=\"a\" answers=\"direct\"><route path=\"/app\" to=\"/\"/><route path=\"/app/img\" except=\"yes\"/>{worker}</pool>\
-             <pool name=\"b\" answers=\"direct\"><route host=\"b.org\"/>{worker}</pool>\
-             <pool name=\"c\" answers=\"direct\"><route path=\"/app/img/x\" to=\"/y\"/><route path=\"/c/\"/>{worker}</pool>"
-        );
-        let routes = Routes::new(&pools(&text));
-        let find = |host: &str, target: &str| routes.find(host, target);
-        assert_eq!(find("x", "/app/q?z=1"), Some((0, "/q?z=1".into())));
-        assert_eq!(find("x", "/app"), Some((0, "/".into())));
-        assert_eq!(find("x", "/app?z"), Some((0, "/?z".into())));
-        assert_eq!(find("x", "/apples"), None);
-        assert_eq!(find("x", "/app/img/1"), None);
-        assert_eq!(find("x", "/app/img/x/1"), Some((2, "/y/1".into())));
-        assert_eq!(find("B.org:8080", "/app"), Some((1, "/app".into())));
-        assert_eq!(find("[::1]:80", "/c/d"), Some((2, "/c/d".into())));
+/// A host without its port; the colons of an IPv6 address stand in brackets.
+fn without_port(host: &str) -> &str {
+    match host.rfind(':') {
+        Some(colon) if !host[colon..].contains(']') => &host[..colon],
+        _ => host,
     }
+}
 
-    #[test]
-    fn sessions_are_found_in_cookies_and_parameters() {
-        let sticky =
-            Sticky { cookie: Some("JSESSIONID".into()), path: Some("jsessionid".into()), strict: false };
-        let find =
-            |target: &'static str, cookie: &'static str| session(&sticky, target, [cookie].into_iter());
-        assert_eq!(find("/a", "x=1; JSESSIONID=ab.c.n1; y=2"), Some("n1"));
-        assert_eq!(find("/a;jsessionid=ab.n2?q=1", "JSESSIONID=ab.n1"), Some("n2"));
-        assert_eq!(find("/a?jsessionid=ab.n3&z=1", ""), Some("n3"));
-        assert_eq!((find("/a", "JSESSIONID=ab"), find("/a", "JSESSIONID=ab.")), (None, None));
-        assert_eq!(find("/a", "OTHER=ab.n1"), None);
+/// The target with the path of the route replaced.
+fn worker_target(entry: &Entry, target: &str) -> String {
+    let Some(replacement) = &entry.replacement else { return target.to_string() };
+    let rest = &target[entry.path.trim_end_matches('/').len()..];
+    match rest.strip_prefix('/') {
+        Some(rest) => format!("{}/{rest}", replacement.trim_end_matches('/')),
+        None => format!("{replacement}{rest}"),
     }
 }
