--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,116 +1,96 @@
-//! News that rides on messages: each piece so many times, those sent least first; newer news of the same takes its place.
+//! News that rides on messages: each piece is sent a number of times, those sent least go first, and newer news on the
+//! same topic replaces older news.
 
-use crate::record::Id;
-use crate::wire::{Part, Writer};
+use crate::accusations::Accusation;
+use crate::record::{MemberId, MemberRecord};
+use crate::wire::{AddOutcome, MessagePart, MessageWriter};
 use std::collections::BTreeMap;
 
-/// What a piece is about.
+#[cfg(test)]
+mod tests;
+
+/// What a piece of news is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum About {
-    Member(Id),
-    /// Subject and accuser.
-    Word(Id, Id),
+enum Topic {
+    Member(MemberId),
+    Accusation { subject: MemberId, accuser: MemberId },
 }
 
-fn about(part: &Part) -> Option<About> {
-    match part {
-        Part::Record(record) => Some(About::Member(record.id())),
-        Part::Accusation(a) => Some(About::Word(a.subject, a.accuser)),
-        _ => None,
-    }
+/// A place in the queue: first how often the piece was sent, then its age.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Position {
+    times_sent: u32,
+    sequence: u64,
 }
 
-/// The pieces, by how often they were sent, then by age.
+#[derive(Clone, Debug)]
+struct News {
+    topic: Topic,
+    part: MessagePart,
+}
+
+/// The pieces of news that are still to be sent.
 #[derive(Clone, Debug, Default)]
-pub struct Gossip {
-    pieces: BTreeMap<(u32, u64), Part>,
-    at: BTreeMap<About, (u32, u64)>,
-    count: u64,
+pub struct GossipQueue {
+    news: BTreeMap<Position, News>,
+    positions: BTreeMap<Topic, Position>,
+    sequence: u64,
 }
 
-impl Gossip {
-    /// Has a record or an accusation sent on. A record makes void what was said of its member before.
-    pub fn push(&mut self, part: Part) {
-        let Some(about) = about(&part) else { return };
-        if let About::Member(id) = about {
-            let words: Vec<About> = self
-                .at
-                .range(About::Word(id, Id(0))..=About::Word(id, Id(u64::MAX)))
-                .map(|(a, _)| *a)
-                .collect();
-            words.into_iter().for_each(|word| self.remove(word));
+impl GossipQueue {
+    /// Adds a record. It voids what was said of its member before.
+    pub fn push_record(&mut self, record: MemberRecord) {
+        let subject = record.id();
+        let first = Topic::Accusation { subject, accuser: MemberId(0) };
+        let last = Topic::Accusation { subject, accuser: MemberId(u64::MAX) };
+        let accusations: Vec<Topic> = self.positions.range(first..=last).map(|(topic, _)| *topic).collect();
+        for topic in accusations {
+            self.remove(topic);
         }
-        self.remove(about);
-        self.put(about, 0, part);
+        self.replace(News { topic: Topic::Member(subject), part: MessagePart::Record(record) });
     }
 
-    fn put(&mut self, about: About, sent: u32, part: Part) {
-        self.count += 1;
-        self.at.insert(about, (sent, self.count));
-        self.pieces.insert((sent, self.count), part);
+    /// Adds an accusation.
+    pub fn push_accusation(&mut self, accusation: Accusation) {
+        let topic = Topic::Accusation { subject: accusation.subject, accuser: accusation.accuser };
+        self.replace(News { topic, part: MessagePart::Accusation(accusation) });
     }
 
-    fn remove(&mut self, about: About) {
-        if let Some(at) = self.at.remove(&about) {
-            self.pieces.remove(&at);
+    /// Adds news to a message as long as it fits; what has been sent `max_sends` times is dropped.
+    pub fn fill(&mut self, writer: &mut MessageWriter, max_sends: u32) {
+        let mut added = Vec::new();
+        for (position, news) in &self.news {
+            if writer.add(&news.part) == AddOutcome::NoRoom {
+                break;
+            }
+            added.push(*position);
         }
-    }
-
-    /// Adds pieces to a message as long as there is room; what has been sent `most` times is dropped.
-    pub fn fill(&mut self, w: &mut Writer, most: u32) {
-        let fits: Vec<(u32, u64)> =
-            self.pieces.iter().take_while(|(_, part)| w.add(part)).map(|(at, _)| *at).collect();
-        for at in fits {
-            let Some(part) = self.pieces.remove(&at) else { continue };
-            let Some(about) = about(&part) else { continue };
-            if at.0 + 1 < most {
-                self.put(about, at.0 + 1, part);
+        for position in added {
+            let Some(news) = self.news.remove(&position) else { continue };
+            let times_sent = position.times_sent + 1;
+            if times_sent < max_sends {
+                self.insert(news, times_sent);
             } else {
-                self.at.remove(&about);
+                self.positions.remove(&news.topic);
             }
         }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::roster::Accusation;
-    use crate::wire::{read, MOST_BYTES};
 
-    fn word(subject: u64, seq: u64) -> Part {
-        let (accuser, subject) = (Id(1), Id(subject));
-        Part::Accusation(Accusation { accuser, subject, incarnation: 1, seq, stands: true, sure: true })
+    fn replace(&mut self, news: News) {
+        self.remove(news.topic);
+        self.insert(news, 0);
     }
 
-    fn filled(gossip: &mut Gossip, most: u32) -> Vec<Part> {
-        let mut w = Writer::new("c", Id(1), MOST_BYTES);
-        gossip.fill(&mut w, most);
-        read(&w.finish(), "c").unwrap().1
+    fn insert(&mut self, news: News, times_sent: u32) {
+        self.sequence += 1;
+        let position = Position { times_sent, sequence: self.sequence };
+        self.positions.insert(news.topic, position);
+        self.news.insert(position, news);
     }
 
-    #[test]
-    fn each_piece_goes_out_so_often_and_newer_news_takes_its_place() {
-        let mut gossip = Gossip::default();
-        gossip.push(word(2, 1));
-        gossip.push(word(2, 2));
-        gossip.push(Part::Ack { nonce: 1 }); // is no news
-        assert_eq!(filled(&mut gossip, 2), vec![word(2, 2)]);
-        assert_eq!(filled(&mut gossip, 2), vec![word(2, 2)]);
-        assert_eq!(filled(&mut gossip, 2), vec![]);
-        assert!(gossip.at.is_empty() && gossip.pieces.is_empty(), "nothing is left behind");
-    }
-
-    #[test]
-    fn what_was_sent_least_goes_first_where_there_is_no_room_for_all() {
-        let mut gossip = Gossip::default();
-        (0..500).for_each(|subject| gossip.push(word(subject, 1)));
-        let first = filled(&mut gossip, 9);
-        assert!(first.len() > 20 && first.len() < 250, "{}", first.len());
-        let rounds = 500usize.div_ceil(first.len());
-        let mut sent: Vec<Part> = (1..rounds).flat_map(|_| filled(&mut gossip, 9)).chain(first).collect();
-        sent.sort_by_key(|part| format!("{part:?}"));
-        sent.dedup();
-        assert_eq!(sent.len(), 500, "all of them once before any twice");
+    fn remove(&mut self, topic: Topic) {
+        if let Some(position) = self.positions.remove(&topic) {
+            self.news.remove(&position);
+        }
     }
 }
--- /dev/null
+++ b/crates/membership/src/member/state_exchange.rs
@@ -0,0 +1,79 @@
+//! Gossip exchanges: two members exchange their complete states, which also heals a partition.
+
+use super::{Member, Phase};
+use crate::record::MemberStatus;
+use crate::wire::{self, MessagePart, MessageWriter, MAX_STATE_BYTES};
+use crate::{Action, Millis};
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// The longest time between two exchanges, in probe intervals. It doubles up to this after joining.
+const MAX_EXCHANGE_INTERVAL: f64 = 32.0;
+/// The smallest factor of the time between two exchanges.
+const MIN_EXCHANGE_FACTOR: f64 = 0.75;
+/// The random part of that factor.
+const EXCHANGE_JITTER: f64 = 0.5;
+
+impl Member {
+    /// Its complete state, for an exchange.
+    pub fn encode_state(&mut self) -> Vec<u8> {
+        let mut writer = MessageWriter::new(&self.config.cluster, self.own_id, MAX_STATE_BYTES);
+        for (_, record) in self.table.records() {
+            writer.add(&MessagePart::Record(record.clone()));
+        }
+        self.metrics.state_exchanges += 1;
+        writer.finish()
+    }
+
+    /// Merges the complete state of another member, which came as an answer or unasked.
+    pub fn merge_state(&mut self, bytes: &[u8], now: Millis, actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        let Ok(message) = wire::decode(bytes, &self.config.cluster) else {
+            self.metrics.decode_errors += 1;
+            return;
+        };
+        let mut own_record = None;
+        for part in message.parts {
+            let MessagePart::Record(record) = part else { continue };
+            if record.id() == self.own_id && !self.has_joined() {
+                own_record = Some(record);
+            } else if record.id() != self.own_id && self.table.record(record.id()).is_none() {
+                // Not passed on: a new member does that itself, and a thousand may start at once.
+                self.table.apply(record, self.now);
+            } else {
+                self.receive_record(record, actions);
+            }
+        }
+        if matches!(self.phase, Phase::Joining { .. }) {
+            self.join_or_claim_name(own_record, actions);
+        }
+    }
+
+    /// Exchanges states with a random member, and with a seed or a removed member, when that is due.
+    pub(super) fn exchange_states(&mut self, actions: &mut Vec<Action>) {
+        if self.now < self.next_exchange {
+            return;
+        }
+        self.table.forget_departed(self.now);
+        let factor = MIN_EXCHANGE_FACTOR + EXCHANGE_JITTER * self.random.next_fraction();
+        let probe_interval = self.config.timing.probe_interval;
+        self.next_exchange = self.now + self.exchange_interval * probe_interval * factor;
+        self.exchange_interval = (2.0 * self.exchange_interval).min(MAX_EXCHANGE_INTERVAL);
+        let running: BTreeSet<SocketAddr> = self.addresses_of_others(MemberStatus::Alive).collect();
+        let mut lost: BTreeSet<SocketAddr> = self.addresses_of_others(MemberStatus::Removed).collect();
+        lost.extend(&self.config.seeds);
+        lost.retain(|addr| *addr != self.config.addr && !running.contains(addr));
+        self.exchange_with_any(running, actions);
+        self.exchange_with_any(lost, actions);
+    }
+
+    fn exchange_with_any(&mut self, addresses: BTreeSet<SocketAddr>, actions: &mut Vec<Action>) {
+        if addresses.is_empty() {
+            return;
+        }
+        let index = self.random.next_index(addresses.len());
+        if let Some(with) = addresses.into_iter().nth(index) {
+            actions.push(Action::ExchangeState { with });
+        }
+    }
+}
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,104 +1,84 @@
 //! What members tell of one another, and which of two records counts.
 
+use crate::random::mix;
 use serde::{Deserialize, Serialize};
+use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// A member's name as a number: what accusations and rings go by.
+#[cfg(test)]
+mod tests;
+
+/// The offset basis of the 64-bit FNV hash.
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// The prime of the 64-bit FNV hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// A hash of a member's name, by which accusations and rings refer to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id(pub u64);
+pub struct MemberId(pub u64);
 
-impl Id {
-    /// Of a name; FNV-1a, with the bits mixed once more, the same at every member and in every version.
-    pub fn of(name: &str) -> Id {
-        let fnv = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-        Id(mix(name.bytes().fold(0xcbf2_9ce4_8422_2325, fnv)))
+impl MemberId {
+    /// The id of a name: its FNV-1a hash, with the bits mixed once more; the same at every member and in every version.
+    pub fn of(name: &str) -> MemberId {
+        let mut hash = FNV_OFFSET;
+        for byte in name.bytes() {
+            hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        }
+        MemberId(mix(hash))
     }
 }
 
-/// Mixes the bits of a number (the last step of splitmix64).
-pub(crate) fn mix(mut z: u64) -> u64 {
-    z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    z ^ (z >> 31)
-}
-
-/// One process under a name; another process under the same name has another number.
+/// One process under a name; another process under the same name is another instance. The one that began at the lower
+/// incarnation is the older one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Instance {
-    /// The incarnation that it began with.
-    pub born: u64,
-    /// By chance.
-    pub number: u64,
+    /// The incarnation that it began with; 0 before it has joined.
+    pub first_incarnation: u64,
+    /// A random number.
+    pub nonce: u64,
 }
 
-/// What is believed of a member at an incarnation. The later of these counts where the incarnation is the same.
+/// What is believed of a member at an incarnation. At the same incarnation the later of these counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum MemberStatus {
     /// It runs.
     Alive,
-    /// Its observers have had no answer from it.
-    Gone,
+    /// Its observers had no proof of life and have removed it.
+    Removed,
     /// It said that it ends.
     Left,
 }
 
 /// All that is told of a member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberRecord {
     /// Its name.
     pub name: String,
-    /// Where it stands.
+    /// The zone that it runs in.
     pub zone: String,
-    /// Where others reach it.
+    /// Where other members reach it.
     pub addr: SocketAddr,
     /// Which process it is.
     pub instance: Instance,
     /// Rises with each refutation and each start.
     pub incarnation: u64,
     /// What is believed of it.
-    pub standing: Standing,
-}
-
-impl Record {
-    /// The member's number.
-    pub fn id(&self) -> Id {
-        Id::of(&self.name)
-    }
-
-    /// Whether this one counts, of two of one name. Two processes may say that they are at one incarnation: the one that
-    /// began first counts then, at every member alike.
-    pub fn supersedes(&self, other: &Record) -> bool {
-        let rank = |r: &Record| (r.incarnation, r.standing, std::cmp::Reverse(r.instance));
-        rank(self) > rank(other)
-    }
+    pub status: MemberStatus,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn record(incarnation: u64, standing: Standing, number: u64) -> Record {
-        let instance = Instance { born: 1, number };
-        let addr = "127.0.0.1:1".parse().unwrap();
-        Record { name: "a".into(), zone: "z".into(), addr, instance, incarnation, standing }
+impl MemberRecord {
+    /// The id of the member's name.
+    pub fn id(&self) -> MemberId {
+        MemberId::of(&self.name)
     }
 
-    #[test]
-    fn of_two_records_the_same_one_counts_whichever_came_first() {
-        use Standing::{Alive, Gone, Left};
-        let order = [(1, Alive, 9), (1, Alive, 3), (1, Gone, 9), (1, Left, 9), (2, Alive, 9), (3, Gone, 1)];
-        for (i, (n, standing, number)) in order.iter().enumerate() {
-            for (m, other, its) in &order[..i] {
-                let (later, earlier) = (record(*n, *standing, *number), record(*m, *other, *its));
-                assert!(later.supersedes(&earlier) && !earlier.supersedes(&later), "{later:?} {earlier:?}");
-            }
-        }
-        assert!(!record(1, Alive, 3).supersedes(&record(1, Alive, 3)), "no news");
+    /// Whether this record counts, of two for one name. Two processes may be at the same incarnation: then the older one
+    /// counts, at every member alike.
+    pub fn supersedes(&self, other: &MemberRecord) -> bool {
+        self.precedence() > other.precedence()
     }
 
-    #[test]
-    fn names_have_the_same_numbers_for_ever() {
-        assert_ne!(Id::of("a1"), Id::of("a2"));
-        assert_eq!(Id::of("a1"), Id(9_292_193_738_565_264_012), "older versions go by it");
+    fn precedence(&self) -> (u64, MemberStatus, Reverse<Instance>) {
+        (self.incarnation, self.status, Reverse(self.instance))
     }
 }
--- /dev/null
+++ b/crates/membership/src/wire/tests.rs
@@ -0,0 +1,73 @@
+use super::*;
+use crate::record::MemberStatus;
+use proptest::prelude::*;
+
+fn record(name: &str) -> MemberRecord {
+    MemberRecord {
+        name: name.into(),
+        zone: "lamia".into(),
+        addr: "127.0.0.1:7946".parse().unwrap(),
+        instance: Instance { first_incarnation: 3, nonce: 77 },
+        incarnation: 5,
+        status: MemberStatus::Alive,
+    }
+}
+
+fn message() -> Vec<u8> {
+    let mut writer = MessageWriter::new("demo", MemberId(9), MAX_DATAGRAM_BYTES);
+    assert_eq!(writer.add(&MessagePart::Ping { nonce: 1, to: MemberId(2) }), AddOutcome::Added);
+    assert_eq!(writer.add(&MessagePart::Record(record("a1"))), AddOutcome::Added);
+    writer.finish()
+}
+
+#[test]
+fn an_encoded_message_is_decoded_by_its_cluster_alone() {
+    let decoded = decode(&message(), "demo").unwrap();
+    assert_eq!(decoded.sender, MemberId(9));
+    assert_eq!(decoded.parts.len(), 2);
+    assert_eq!(decoded.parts[1], MessagePart::Record(record("a1")));
+    assert_eq!(decode(&message(), "other"), Err(DecodeError::OtherCluster));
+}
+
+#[test]
+fn a_newer_version_may_add_parts_and_fields() {
+    let mut newer = message();
+    newer[2] = PROTOCOL_VERSION + 1;
+    newer.extend([200, 0, 2, 7, 7]); // a kind that this version does not know
+    let longer = postcard::to_allocvec(&MessagePart::Ack { nonce: 4 }).unwrap();
+    newer.extend([2, 0, longer.len() as u8 + 1]);
+    newer.extend(longer.iter().chain(&[9]));
+    assert_eq!(decode(&newer, "demo").unwrap().parts[2], MessagePart::Ack { nonce: 4 });
+}
+
+#[test]
+fn a_datagram_never_exceeds_its_length() {
+    let mut writer = MessageWriter::new("demo", MemberId(9), MAX_DATAGRAM_BYTES);
+    let part = |number: &i32| MessagePart::Record(record(&format!("member-{number}")));
+    let added = (0..100).take_while(|number| writer.add(&part(number)) == AddOutcome::Added).count();
+    assert!(added > 20 && writer.finish().len() <= MAX_DATAGRAM_BYTES, "{added}");
+}
+
+#[test]
+fn a_truncated_message_is_an_error_or_has_fewer_parts() {
+    let whole = message();
+    let has_fewer_parts =
+        |length: &usize| decode(&whole[..*length], "demo").is_ok_and(|message| message.parts.len() < 2);
+    let shorter = (0..whole.len()).filter(has_fewer_parts).count();
+    assert_eq!(shorter, 2, "only between parts");
+}
+
+proptest! {
+    #[test]
+    fn no_input_makes_the_decoder_panic(
+        mut bytes in prop::collection::vec(any::<u8>(), 0..200),
+        at in 0usize..60,
+        with: u8,
+    ) {
+        let _ = decode(&bytes, "demo");
+        bytes.splice(0..0, message());
+        let at = at.min(bytes.len() - 1);
+        bytes[at] = with;
+        let _ = decode(&bytes, "demo");
+    }
+}
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden file: every datagram and whole state that a fixed course of events brings forth keeps its bytes.
 //! `UPDATE_GOLDEN=1` writes the fixture anew, for a deliberate change of the format.
 
-use postusher_membership::*;
+use postusher_membership::{Action, Config, Member, PART_KINDS};
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 }
 
 struct Cluster {
-    members: Vec<Members>,
+    members: Vec<Member>,
     network: VecDeque<(usize, usize, Content)>,
     transcript: String,
 }
@@ -32,9 +32,9 @@
     SocketAddr::from(([127, 0, 0, member as u8 + 1], 7946))
 }
 
-fn member(name: usize, at: usize, now: f64) -> Members {
+fn member(name: usize, at: usize, now: f64) -> Member {
     let config = Config::new("golden", &format!("m{name}"), &format!("z{}", name % 2), addr(at));
-    Members::new(Config { seeds: vec![addr(0), addr(1)], ..config }, 7 + at as u64, now)
+    Member::new(Config { seeds: vec![addr(0), addr(1)], ..config }, 7 + at as u64, now)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -52,20 +52,22 @@
     fn carry_out(&mut self, now: f64, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Datagram { to, bytes } => {
+                Action::SendDatagram { to, bytes } => {
                     self.note(now, from, to, "datagram", &bytes);
                     let receiver = (0..self.members.len()).find(|n| addr(*n) == to);
                     let content = Content::Datagram(bytes);
                     self.network.extend(receiver.map(|receiver| (from, receiver, content)));
                 }
-                Action::Exchange { with } => {
-                    let bytes = self.members[from].whole();
+                Action::ExchangeState { with } => {
+                    let bytes = self.members[from].encode_state();
                     self.note(now, from, with, "state", &bytes);
                     let receiver = (0..self.members.len()).find(|n| addr(*n) == with);
                     let content = Content::State { bytes, answer: true };
                     self.network.extend(receiver.map(|receiver| (from, receiver, content)));
                 }
-                Action::End { why } => self.note(now, from, addr(from), "end", why.as_bytes()),
+                Action::Terminate { reason } => {
+                    self.note(now, from, addr(from), "end", reason.to_string().as_bytes());
+                }
             }
         }
     }
@@ -80,14 +82,16 @@
             }
             let mut actions = Vec::new();
             match content {
-                Content::Datagram(bytes) => self.members[to].datagram(addr(from), &bytes, now, &mut actions),
+                Content::Datagram(bytes) => {
+                    self.members[to].receive_datagram(addr(from), &bytes, now, &mut actions)
+                }
                 Content::State { bytes, answer } => {
                     if answer {
-                        let own = self.members[to].whole();
+                        let own = self.members[to].encode_state();
                         self.note(now, to, addr(from), "state", &own);
                         self.network.push_back((to, from, Content::State { bytes: own, answer: false }));
                     }
-                    self.members[to].take_whole(&bytes, now, &mut actions);
+                    self.members[to].merge_state(&bytes, now, &mut actions);
                 }
             }
             self.carry_out(now, to, actions);
@@ -106,10 +110,10 @@
         }
         cluster.deliver(now);
         for n in 0..cluster.members.len() {
-            let due = cluster.members[n].next_wake().is_none_or(|at| at <= now);
+            let due = cluster.members[n].next_timer().is_none_or(|at| at <= now);
             if due && !(n == MEMBERS - 1 && now >= CRASH_MS) {
                 let mut actions = Vec::new();
-                cluster.members[n].wake(now, &mut actions);
+                cluster.members[n].advance(now, &mut actions);
                 cluster.carry_out(now, n, actions);
             }
         }
@@ -118,11 +122,11 @@
     let mut actions = Vec::new();
     cluster.members[1].leave(now, &mut actions);
     cluster.carry_out(now, 1, actions);
-    let sent = cluster.members.iter().fold([0; 8], |sum: [u64; 8], m| {
-        let parts = m.figures().parts;
+    let sent = cluster.members.iter().fold([0; PART_KINDS], |sum: [u64; PART_KINDS], m| {
+        let parts = m.metrics().parts_sent;
         std::array::from_fn(|kind| sum[kind] + parts[kind])
     });
-    assert!(sent.iter().all(|count| *count > 0), "every kind is in the course: {KINDS:?} {sent:?}");
+    assert!(sent.iter().all(|count| *count > 0), "every kind is in the course: {sent:?}");
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/course.txt");
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         std::fs::write(&path, &cluster.transcript).unwrap();
--- a/crates/membership/tests/model.rs
+++ b/crates/membership/tests/model.rs
@@ -1,17 +1,20 @@
 //! Join, accuse, refute, remove and rejoin of three and four members, in every order in which messages can come or be lost,
-//! on the crate's own transition function ([`Roster`]), checked by stateright.
+//! on the crate's own transition function ([`MemberTable`]), checked by stateright.
 
-use postusher_membership::{Accusation, Change, Devices, Id, Instance, Record, Roster, Standing, Times};
+use postusher_membership::{
+    Accusation, AccusationOutcome, Instance, Mechanisms, MemberId, MemberRecord, MemberStatus, MemberTable,
+    RecordChange, Timing,
+};
 use stateright::{Checker, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-fn id(n: usize) -> Id {
-    Id::of(&format!("m{n}"))
+fn id(n: usize) -> MemberId {
+    MemberId::of(&format!("m{n}"))
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
-    Record(usize, u64, Standing, Instance),
+    Record(usize, u64, MemberStatus, Instance),
     Accusation(Said),
 }
 
@@ -20,19 +23,19 @@
     accuser: usize,
     subject: usize,
     incarnation: u64,
-    seq: u64,
+    sequence: u64,
     stands: bool,
 }
 
-/// A member's mind, as plain data: the roster is made of it anew for each step.
+/// A member's mind, as plain data: the table is made of it anew for each step.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Mind {
     runs: bool,
     incarnation: u64,
     instance: Instance,
-    records: BTreeMap<usize, (u64, Standing, Instance)>,
+    records: BTreeMap<usize, (u64, MemberStatus, Instance)>,
     said: BTreeSet<Said>,
-    seq: u64,
+    sequence: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -59,106 +62,116 @@
 
 struct Cluster {
     members: usize,
-    devices: Devices,
+    mechanisms: Mechanisms,
     accusations: u8,
     crashes: u8,
     losses: u8,
 }
 
-fn record(n: usize, incarnation: u64, standing: Standing, instance: Instance) -> Record {
+fn record(n: usize, incarnation: u64, status: MemberStatus, instance: Instance) -> MemberRecord {
     let (name, addr) = (format!("m{n}"), "127.0.0.1:1".parse().unwrap());
-    Record { name, zone: "z".into(), addr, instance, incarnation, standing }
+    MemberRecord { name, zone: "z".into(), addr, instance, incarnation, status }
 }
 
 impl Cluster {
-    fn roster(&self, mind: &Mind) -> Roster {
-        let times = Times { removal: 0.0, ..Times::default() };
-        let mut roster = Roster::new(times, self.devices);
-        for (n, (incarnation, standing, instance)) in &mind.records {
-            roster.take(record(*n, *incarnation, *standing, *instance), 0.0);
+    fn table(&self, mind: &Mind) -> MemberTable {
+        let timing = Timing { removal_delay: 0.0, ..Timing::default() };
+        let mut table = MemberTable::new(timing, self.mechanisms);
+        for (n, (incarnation, status, instance)) in &mind.records {
+            table.apply(record(*n, *incarnation, *status, *instance), 0.0);
         }
         for said in &mind.said {
-            roster.accuse(accusation(said), 0.0);
+            table.accuse(accusation(said), 0.0);
         }
-        roster
+        table
     }
 
-    /// Keeps what a roster has become, judges, and sends on what is new.
-    fn keep(&self, state: &mut State, me: usize, mut roster: Roster, mut news: Vec<Message>) {
-        for gone in roster.judge(0.0) {
+    /// Keeps what a table has become, judges, and sends on what is new.
+    fn keep(&self, state: &mut State, me: usize, mut table: MemberTable, mut news: Vec<Message>) {
+        for gone in table.due_removals(0.0) {
             let n = (0..self.members).find(|n| id(*n) == gone.id()).unwrap();
-            news.push(Message::Record(n, gone.incarnation, gone.standing, gone.instance));
-            roster.take(gone, 0.0);
+            news.push(Message::Record(n, gone.incarnation, gone.status, gone.instance));
+            table.apply(gone, 0.0);
         }
         let mind = &mut state.minds[me];
         mind.records.clear();
         for n in 0..self.members {
-            if let Some(r) = roster.get(id(n)) {
-                mind.records.insert(n, (r.incarnation, r.standing, r.instance));
+            if let Some(r) = table.record(id(n)) {
+                mind.records.insert(n, (r.incarnation, r.status, r.instance));
                 state.high[me][n] = state.high[me][n].max(r.incarnation);
             }
         }
-        mind.said
-            .retain(|s| roster.against(id(s.subject)).any(|a| a.accuser == id(s.accuser) && a.seq == s.seq));
+        mind.said.retain(|s| {
+            table
+                .accusations_against(id(s.subject))
+                .any(|a| a.accuser == id(s.accuser) && a.sequence == s.sequence)
+        });
         for message in news {
             state.net.extend((0..self.members).filter(|to| *to != me).map(|to| (to, message.clone())));
         }
     }
 
-    fn refute(&self, state: &mut State, me: usize, roster: &mut Roster, heard: u64) -> Vec<Message> {
+    fn refute(&self, state: &mut State, me: usize, table: &mut MemberTable, heard: u64) -> Vec<Message> {
         let mind = &mut state.minds[me];
-        if !self.devices.refute || heard < mind.incarnation {
+        if !self.mechanisms.refutation || heard < mind.incarnation {
             return Vec::new();
         }
-        mind.incarnation = if self.devices.raise { heard + 1 } else { heard };
-        roster.take(record(me, mind.incarnation, Standing::Alive, mind.instance), 0.0);
-        vec![Message::Record(me, mind.incarnation, Standing::Alive, mind.instance)]
+        mind.incarnation = if self.mechanisms.raised_incarnation { heard + 1 } else { heard };
+        table.apply(record(me, mind.incarnation, MemberStatus::Alive, mind.instance), 0.0);
+        vec![Message::Record(me, mind.incarnation, MemberStatus::Alive, mind.instance)]
     }
 
     fn deliver(&self, state: &mut State, to: usize, message: Message) {
-        let mut roster = self.roster(&state.minds[to]);
+        let mut table = self.table(&state.minds[to]);
         let mut news = Vec::new();
         match &message {
-            Message::Record(n, incarnation, standing, instance) if *n == to => {
-                if *standing != Standing::Alive || *instance != state.minds[to].instance {
-                    news = self.refute(state, to, &mut roster, *incarnation);
+            Message::Record(n, incarnation, status, instance) if *n == to => {
+                if *status != MemberStatus::Alive || *instance != state.minds[to].instance {
+                    news = self.refute(state, to, &mut table, *incarnation);
                 }
             }
-            Message::Record(n, incarnation, standing, instance) => {
-                let change = roster.take(record(*n, *incarnation, *standing, *instance), 0.0);
-                news.extend((change != Change::Nothing).then_some(message));
+            Message::Record(n, incarnation, status, instance) => {
+                let change = table.apply(record(*n, *incarnation, *status, *instance), 0.0);
+                news.extend((change != RecordChange::Unchanged).then_some(message));
             }
             Message::Accusation(said) if said.subject == to => {
                 if said.stands {
-                    news = self.refute(state, to, &mut roster, said.incarnation);
+                    news = self.refute(state, to, &mut table, said.incarnation);
                 }
             }
             Message::Accusation(said) => {
-                if roster.accuse(accusation(said), 0.0) {
+                if table.accuse(accusation(said), 0.0) == AccusationOutcome::Recorded {
                     state.minds[to].said.retain(|s| (s.accuser, s.subject) != (said.accuser, said.subject));
                     state.minds[to].said.insert(said.clone());
                 }
             }
         }
-        self.keep(state, to, roster, news);
+        self.keep(state, to, table, news);
     }
 
     fn say(&self, state: &mut State, accuser: usize, subject: usize, stands: bool) {
-        let mut roster = self.roster(&state.minds[accuser]);
+        let mut table = self.table(&state.minds[accuser]);
         let mind = &mut state.minds[accuser];
-        mind.seq += 1;
+        mind.sequence += 1;
         let incarnation = mind.records[&subject].0;
-        let said = Said { accuser, subject, incarnation, seq: mind.seq, stands };
+        let said = Said { accuser, subject, incarnation, sequence: mind.sequence, stands };
         mind.said.retain(|s| (s.accuser, s.subject) != (accuser, subject));
         mind.said.insert(said.clone());
-        roster.accuse(accusation(&said), 0.0);
-        self.keep(state, accuser, roster, vec![Message::Accusation(said)]);
+        table.accuse(accusation(&said), 0.0);
+        self.keep(state, accuser, table, vec![Message::Accusation(said)]);
     }
 }
 
 fn accusation(said: &Said) -> Accusation {
-    let Said { accuser, subject, incarnation, seq, stands } = *said;
-    Accusation { accuser: id(accuser), subject: id(subject), incarnation, seq, stands, sure: true }
+    let Said { accuser, subject, incarnation, sequence, stands } = *said;
+    Accusation {
+        accuser: id(accuser),
+        subject: id(subject),
+        incarnation,
+        sequence,
+        stands,
+        accuser_is_connected: true,
+    }
 }
 
 impl Model for Cluster {
@@ -166,16 +179,17 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let instance = |n: usize| Instance { born: 1, number: n as u64 };
+        let instance = |n: usize| Instance { first_incarnation: 1, nonce: n as u64 };
         let members = self.members;
-        let records: BTreeMap<_, _> = (0..members).map(|n| (n, (1, Standing::Alive, instance(n)))).collect();
+        let records: BTreeMap<_, _> =
+            (0..members).map(|n| (n, (1, MemberStatus::Alive, instance(n)))).collect();
         let mind = |n| Mind {
             runs: true,
             incarnation: 1,
             instance: instance(n),
             records: records.clone(),
             said: BTreeSet::new(),
-            seq: 0,
+            sequence: 0,
         };
         vec![State {
             minds: (0..members).map(mind).collect(),
@@ -205,7 +219,7 @@
             // It makes no difference which one is accused.
             for other in [self.members - 1].into_iter().filter(|o| *o != n) {
                 let mine = |s: &&Said| s.accuser == n && s.subject == other && s.stands;
-                let alive = mind.records.get(&other).is_some_and(|r| r.1 == Standing::Alive);
+                let alive = mind.records.get(&other).is_some_and(|r| r.1 == MemberStatus::Alive);
                 if mind.said.iter().any(|s| mine(&s)) {
                     actions.push(Step::Withdraw(n, other));
                 } else if alive && state.accusations < self.accusations {
@@ -242,15 +256,15 @@
                 let asked = state.minds.iter().position(|m| m.runs)?;
                 let theirs = state.minds[asked].records.clone();
                 let incarnation = theirs.get(&n).map_or(0, |r| r.0) + 1;
-                let instance = Instance { born: incarnation, number: 100 + n as u64 };
+                let instance = Instance { first_incarnation: incarnation, nonce: 100 + n as u64 };
                 let mind = &mut state.minds[n];
                 (mind.runs, mind.incarnation, mind.instance) = (true, incarnation, instance);
                 (mind.records, mind.said) = (theirs, BTreeSet::new());
                 state.high[n] = vec![0; self.members]; // another process, that has believed in nothing yet
-                let mut roster = self.roster(&state.minds[n]);
-                roster.take(record(n, incarnation, Standing::Alive, instance), 0.0);
-                let news = vec![Message::Record(n, incarnation, Standing::Alive, instance)];
-                self.keep(&mut state, n, roster, news);
+                let mut table = self.table(&state.minds[n]);
+                table.apply(record(n, incarnation, MemberStatus::Alive, instance), 0.0);
+                let news = vec![Message::Record(n, incarnation, MemberStatus::Alive, instance)];
+                self.keep(&mut state, n, table, news);
             }
         }
         Some(state)
@@ -271,7 +285,7 @@
             Property::always("a refuted suspicion removes nobody", |c: &Cluster, s: &State| {
                 // Whoever has heard of the present incarnation of one that runs believes in it until that is accused.
                 let gone = |by: &Mind, of: usize| {
-                    let now = (s.minds[of].incarnation, Standing::Gone);
+                    let now = (s.minds[of].incarnation, MemberStatus::Removed);
                     by.records.get(&of).is_some_and(|r| (r.0, r.1) == now)
                 };
                 let runs = |of: usize| s.minds[of].runs;
@@ -280,11 +294,11 @@
             }),
             Property::always("one that runs and was removed comes back", |c: &Cluster, s: &State| {
                 let quiet = s.net.is_empty() && s.losses == 0 && s.crashes == 0;
-                let alive = |m: &Mind, of| m.records.get(&of).is_some_and(|r| r.1 == Standing::Alive);
+                let alive = |m: &Mind, of| m.records.get(&of).is_some_and(|r| r.1 == MemberStatus::Alive);
                 !quiet || s.minds.iter().all(|m| (0..c.members).all(|of| alive(m, of)))
             }),
             Property::sometimes("a member that runs can be removed at all", |_, s: &State| {
-                let gone = |m: &Mind| m.records.values().any(|r| r.1 == Standing::Gone);
+                let gone = |m: &Mind| m.records.values().any(|r| r.1 == MemberStatus::Removed);
                 s.minds.iter().any(|m| m.runs && gone(m))
             }),
             Property::sometimes(
@@ -292,7 +306,7 @@
                 |c: &Cluster, s: &State| {
                     let back = |of: usize| s.minds[of].incarnation >= 3;
                     (0..c.members)
-                        .any(|of| back(of) && s.minds.iter().all(|m| m.records[&of].1 == Standing::Alive))
+                        .any(|of| back(of) && s.minds.iter().all(|m| m.records[&of].1 == MemberStatus::Alive))
                 },
             ),
         ]
@@ -301,29 +315,31 @@
 
 #[test]
 fn what_must_hold_does_in_every_order() {
-    let lost = Cluster { members: 3, devices: Devices::default(), accusations: 2, crashes: 0, losses: 1 };
+    let lost =
+        Cluster { members: 3, mechanisms: Mechanisms::default(), accusations: 2, crashes: 0, losses: 1 };
     let checked = lost.checker().threads(4).spawn_bfs().join();
     checked.assert_properties();
     println!("losses: {} states", checked.unique_state_count());
 }
 
 /// Of four, two of three observers are needed. All 15 million states take a quarter of an hour: `make members-model`.
-fn four(devices: Devices) -> Cluster {
-    Cluster { members: 4, devices, accusations: 2, crashes: 0, losses: 0 }
+fn four(mechanisms: Mechanisms) -> Cluster {
+    Cluster { members: 4, mechanisms, accusations: 2, crashes: 0, losses: 0 }
 }
 
 #[test]
 #[ignore = "a quarter of an hour"]
 fn and_among_four_members() {
-    let checked = four(Devices::default()).checker().threads(4).spawn_bfs().join();
+    let checked = four(Mechanisms::default()).checker().threads(4).spawn_bfs().join();
     checked.assert_properties();
     println!("four: {} states", checked.unique_state_count());
 }
 
 #[test]
 fn and_among_four_members_in_the_first_states() {
-    let first = |devices| four(devices).checker().threads(4).target_state_count(100_000).spawn_bfs().join();
-    let checked = first(Devices::default());
+    let first =
+        |mechanisms| four(mechanisms).checker().threads(4).target_state_count(100_000).spawn_bfs().join();
+    let checked = first(Mechanisms::default());
     for what in [
         "incarnations only rise",
         "nobody but itself raises an incarnation",
@@ -334,13 +350,14 @@
     }
     assert!(checked.unique_state_count() >= 20_000);
     // They go far enough to find a mistake.
-    let one = first(Devices { quorum: false, ..Devices::default() });
+    let one = first(Mechanisms { quorum: false, ..Mechanisms::default() });
     assert!(one.discovery("a refuted suspicion removes nobody").is_some(), "one accuser removes");
 }
 
 #[test]
 fn and_with_a_crash_and_a_restart() {
-    let crash = Cluster { members: 3, devices: Devices::default(), accusations: 1, crashes: 1, losses: 0 };
+    let crash =
+        Cluster { members: 3, mechanisms: Mechanisms::default(), accusations: 1, crashes: 1, losses: 0 };
     let checked = crash.checker().threads(4).spawn_bfs().join();
     checked.assert_no_discovery("incarnations only rise");
     checked.assert_no_discovery("nobody but itself raises an incarnation");
@@ -349,16 +366,17 @@
 
 #[test]
 fn a_planted_mistake_is_found() {
-    for devices in
-        [Devices { raise: false, ..Devices::default() }, Devices { refute: false, ..Devices::default() }]
-    {
-        let wrong = Cluster { members: 3, devices, accusations: 2, crashes: 0, losses: 0 };
+    for mechanisms in [
+        Mechanisms { raised_incarnation: false, ..Mechanisms::default() },
+        Mechanisms { refutation: false, ..Mechanisms::default() },
+    ] {
+        let wrong = Cluster { members: 3, mechanisms, accusations: 2, crashes: 0, losses: 0 };
         let checked = wrong.checker().threads(4).spawn_bfs().join();
-        assert!(checked.discovery("one that runs and was removed comes back").is_some(), "{devices:?}");
+        assert!(checked.discovery("one that runs and was removed comes back").is_some(), "{mechanisms:?}");
     }
     let one = Cluster {
         members: 3,
-        devices: Devices { quorum: false, ..Devices::default() },
+        mechanisms: Mechanisms { quorum: false, ..Mechanisms::default() },
         accusations: 1,
         crashes: 0,
         losses: 0,
--- a/crates/membership/tests/names.rs
+++ b/crates/membership/tests/names.rs
@@ -1,7 +1,7 @@
 //! Two processes under one name, after a split in which neither knew of the other: whatever order messages come in, and
 //! whichever of them is lost, one stays and the other says so and ends. The whole state machine, checked by stateright.
 
-use postusher_membership::{Action, Config, Members};
+use postusher_membership::{Action, Config, Member};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
@@ -37,7 +37,7 @@
 
 #[derive(Clone, Debug)]
 struct State {
-    members: Vec<Members>,
+    members: Vec<Member>,
     ended: Vec<bool>,
     net: Vec<Message>,
     ticks: u32,
@@ -89,15 +89,15 @@
         let number = |to: SocketAddr| (0..3).find(|n| addr(*n) == to);
         for action in out {
             match action {
-                Action::Datagram { to, bytes } => {
+                Action::SendDatagram { to, bytes } => {
                     let to = number(to).unwrap();
                     self.net.push(Message::Datagram { from: n, to, bytes });
                 }
-                Action::Exchange { with } => {
-                    let (to, bytes) = (number(with).unwrap(), self.members[n].whole());
+                Action::ExchangeState { with } => {
+                    let (to, bytes) = (number(with).unwrap(), self.members[n].encode_state());
                     self.net.push(Message::Whole { from: n, to, bytes, answer: true });
                 }
-                Action::End { .. } => self.ended[n] = true,
+                Action::Terminate { .. } => self.ended[n] = true,
             }
         }
         self.net.sort();
@@ -113,14 +113,14 @@
         }
         match message {
             Message::Datagram { from, bytes, .. } => {
-                self.members[to].datagram(addr(from), &bytes, now, &mut out)
+                self.members[to].receive_datagram(addr(from), &bytes, now, &mut out)
             }
             Message::Whole { from, bytes, answer, .. } => {
                 if answer {
-                    let bytes = self.members[to].whole();
+                    let bytes = self.members[to].encode_state();
                     self.net.push(Message::Whole { from: to, to: from, bytes, answer: false });
                 }
-                self.members[to].take_whole(&bytes, now, &mut out);
+                self.members[to].merge_state(&bytes, now, &mut out);
             }
         }
         self.carry_out(to, out);
@@ -139,22 +139,22 @@
     fn init_states(&self) -> Vec<State> {
         let names = ["w", "a", "a"];
         let config = |n: usize| Config::new("names", names[n], "z", addr(n));
-        let mut members: Vec<Members> =
-            (0..3).map(|n| Members::new(config(n), self.seed * 3 + n as u64, 0.0)).collect();
+        let mut members: Vec<Member> =
+            (0..3).map(|n| Member::new(config(n), self.seed * 3 + n as u64, 0.0)).collect();
         let mut out = Vec::new();
-        members.iter_mut().for_each(|m| m.wake(0.0, &mut out));
+        members.iter_mut().for_each(|m| m.advance(0.0, &mut out));
         for n in TWINS {
-            let whole = members[n].whole();
-            members[WITNESS].take_whole(&whole, 0.0, &mut out);
-            let whole = members[WITNESS].whole();
-            members[n].take_whole(&whole, 0.0, &mut out);
+            let whole = members[n].encode_state();
+            members[WITNESS].merge_state(&whole, 0.0, &mut out);
+            let whole = members[WITNESS].encode_state();
+            members[n].merge_state(&whole, 0.0, &mut out);
         }
-        assert!(members.iter().all(Members::is_in), "both twins are members that are content");
+        assert!(members.iter().all(Member::has_joined), "both twins are members that are content");
         let mut state =
             State { members, ended: vec![false; 3], net: Vec::new(), ticks: 0, losses: 0, late: 0 };
         // A twin that hears of the other at once has asked there already.
         for action in out {
-            let Action::Datagram { to, .. } = &action else { continue };
+            let Action::SendDatagram { to, .. } = &action else { continue };
             let other = TWINS.into_iter().find(|n| addr(*n) != *to).unwrap();
             state.carry_out(other, vec![action]);
         }
@@ -184,7 +184,7 @@
                     let mut out = Vec::new();
                     if !state.ended[n] {
                         let now = state.now();
-                        state.members[n].wake(now, &mut out);
+                        state.members[n].advance(now, &mut out);
                     }
                     state.carry_out(n, out);
                 }
--- a/crates/membership/tests/steps.rs
+++ b/crates/membership/tests/steps.rs
@@ -1,6 +1,6 @@
 //! Random steps: whatever comes in whatever order, what must hold of a member holds.
 
-use postusher_membership::*;
+use postusher_membership::{Action, Config, Member, MemberStatus, MAX_DATAGRAM_BYTES};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -49,31 +49,31 @@
 
 struct World {
     now: f64,
-    members: Vec<Members>,
+    members: Vec<Member>,
     net: Vec<(usize, usize, Way, Vec<u8>)>,
     ended: Vec<bool>,
 }
 
-fn fresh(n: usize, seed: u64, now: f64) -> Members {
+fn fresh(n: usize, seed: u64, now: f64) -> Member {
     let config = Config::new("c", &format!("m{n}"), "z", addr(n));
-    Members::new(Config { seeds: vec![addr(0), addr(1)], ..config }, seed, now)
+    Member::new(Config { seeds: vec![addr(0), addr(1)], ..config }, seed, now)
 }
 
 impl World {
     fn carry_out(&mut self, from: usize, out: Vec<Action>) {
         for action in out {
             match action {
-                Action::Datagram { to, bytes } => {
-                    assert!(bytes.len() <= MOST_BYTES);
+                Action::SendDatagram { to, bytes } => {
+                    assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
                     let to = (0..N).find(|n| addr(*n) == to);
                     to.into_iter().for_each(|to| self.net.push((from, to, Way::Datagram, bytes.clone())));
                 }
-                Action::Exchange { with } => {
-                    let bytes = self.members[from].whole();
+                Action::ExchangeState { with } => {
+                    let bytes = self.members[from].encode_state();
                     let to = (0..N).find(|n| addr(*n) == with);
                     to.into_iter().for_each(|to| self.net.push((from, to, Way::Whole(true), bytes.clone())));
                 }
-                Action::End { .. } => self.ended[from] = true,
+                Action::Terminate { .. } => self.ended[from] = true,
             }
         }
         let surplus = self.net.len().saturating_sub(64);
@@ -85,8 +85,8 @@
         match step {
             Step::Wake(n, by) => {
                 self.now += by;
-                self.members[n].wake(self.now, &mut out);
-                let next = self.members[n].next_wake();
+                self.members[n].advance(self.now, &mut out);
+                let next = self.members[n].next_timer();
                 assert!(next.is_none_or(|at| at > self.now), "it would be woken for ever");
                 self.carry_out(n, out);
             }
@@ -102,13 +102,15 @@
                     bytes[place] = byte;
                 }
                 match way {
-                    Way::Datagram => self.members[to].datagram(addr(from), &bytes, self.now, &mut out),
+                    Way::Datagram => {
+                        self.members[to].receive_datagram(addr(from), &bytes, self.now, &mut out)
+                    }
                     Way::Whole(asks) => {
                         if asks {
-                            let mine = self.members[to].whole();
+                            let mine = self.members[to].encode_state();
                             self.net.push((to, from, Way::Whole(false), mine));
                         }
-                        self.members[to].take_whole(&bytes, self.now, &mut out);
+                        self.members[to].merge_state(&bytes, self.now, &mut out);
                     }
                 }
                 self.carry_out(to, out);
@@ -116,8 +118,8 @@
             Step::Lose(nth) if !self.net.is_empty() => drop(self.net.remove(nth % self.net.len())),
             Step::Deliver { .. } | Step::Lose(_) => {}
             Step::Noise(n, bytes) => {
-                self.members[n].datagram(addr(N), &bytes, self.now, &mut out);
-                self.members[n].take_whole(&bytes, self.now, &mut out);
+                self.members[n].receive_datagram(addr(N), &bytes, self.now, &mut out);
+                self.members[n].merge_state(&bytes, self.now, &mut out);
                 self.carry_out(n, out);
             }
             Step::Leave(n) => {
@@ -147,14 +149,14 @@
             world.play(step);
             for (n, m) in world.members.iter().enumerate() {
                 let mine = m.record(&format!("m{n}"));
-                if m.is_in() {
-                    prop_assert!(mine.is_some_and(|r| r.standing == Standing::Alive && r.incarnation >= high[n]));
+                if m.has_joined() {
+                    prop_assert!(mine.is_some_and(|r| r.status == MemberStatus::Alive && r.incarnation >= high[n]));
                     high[n] = mine.map_or(0, |r| r.incarnation);
                     prop_assert!(!world.ended[n], "it has ended");
                 }
                 let view = m.view();
                 prop_assert!(view.members.windows(2).all(|two| two[0].record.name < two[1].record.name));
-                prop_assert!(m.is_in() || view.minority, "who has not joined, or has left, speaks for nobody");
+                prop_assert!(m.has_joined() || view.is_minority, "who has not joined, or has left, speaks for nobody");
             }
         }
     }
--- a/crates/node/src/event_loop/membership.rs
+++ b/crates/node/src/event_loop/membership.rs
@@ -1,182 +1,230 @@
-//! Membership on sockets: datagrams, exchanges of whole states, and the time.
+//! Membership on sockets: datagrams, exchanges of states, and the time.
 
 use super::{ConnectionId, EventLoop, Role, Socket, DATAGRAMS, EXCHANGES};
 use crate::clock::{Clock, Millis};
-use crate::membership::{self, MembersGauges, StateExchange};
+use crate::membership::{self, MembersGauges, Side, StateExchange, StateTooLong, EXCHANGE_TIMEOUT};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Interest, Registry};
-use postusher_membership::{Action, Members};
-use postusher_setup::Members as Setup;
-use socket2::{Domain, Protocol, SockAddr, Socket as Raw, Type};
+use postusher_membership::{Action, Member, TerminationReason};
+use postusher_setup::Members as MembersSetup;
+use socket2::{Domain, Protocol, SockAddr, Socket as RawSocket, Type};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// So many datagrams are taken in a turn. Guards against: a crowd of members for which the loop never comes to clients.
-const MOST_A_TURN: usize = 128;
-/// And for so long, in milliseconds: what is left waits for the next turn.
-const LONGEST_TURN: Millis = 2.0;
-/// So many exchanges there may be at once; more are for another time.
-const MOST_EXCHANGES: usize = 8;
-/// Descriptors set apart: these, the sockets for datagrams and connections, and one to accept with.
-pub(super) const DESCRIPTORS: usize = MOST_EXCHANGES + 3;
-/// While the process before this one still has the address, it is tried again so often.
-const TRY_AGAIN: Millis = 250.0;
+/// The most datagrams that are read in a turn: many members must not keep the loop from its clients.
+const MAX_DATAGRAMS_PER_TURN: usize = 128;
+/// The longest time for them; what is left waits for the next turn.
+const MAX_DATAGRAM_TURN: Millis = 2.0;
+/// The most exchanges at once; further ones are dropped and tried again by the members.
+const MAX_EXCHANGES: usize = 8;
+/// Descriptors set apart: for the exchanges, the sockets for datagrams and connections, and one to accept with.
+pub(super) const DESCRIPTORS: usize = MAX_EXCHANGES + 3;
+/// While the process before this one still has the address, binding is tried again so often.
+const BIND_RETRY_INTERVAL: Millis = 250.0;
+/// The longest datagram that can arrive, in bytes.
+const RECEIVE_BUFFER_BYTES: usize = 64 * 1024;
 
 /// This scheduler as a member, with its sockets while it has them.
 pub(super) struct Membership {
-    setup: Setup,
-    pub(super) machine: Members,
-    bound: Option<Bound>,
-    try_at: Millis,
+    setup: MembersSetup,
+    member: Member,
+    sockets: Option<MembershipSockets>,
+    bind_at: Millis,
     /// Exchanges under way.
     pub(super) exchanges: usize,
-    /// Datagrams may be left from the turn before.
-    more: bool,
+    has_more: bool,
     buffer: Vec<u8>,
-    /// Its name is another process's.
-    pub(super) taken: Option<String>,
+    /// Set once another process has its name.
+    pub(super) taken: Option<TerminationReason>,
 }
 
-struct Bound {
+struct MembershipSockets {
     datagrams: UdpSocket,
     listener: TcpListener,
 }
 
 impl Membership {
-    /// One that has no sockets yet. Each process needs chance of its own: the name may be in use twice.
-    pub(super) fn new(setup: &Setup, seed: u64, clock: &Clock) -> Membership {
+    /// A member without sockets. The seed of its random numbers differs from that of any other process, as the name may
+    /// be in use twice.
+    pub(super) fn new(setup: &MembersSetup, seed: u64, clock: &Clock) -> Membership {
         let now = clock.now();
-        let chance = seed ^ u64::from(std::process::id()) << 32 ^ now.to_bits();
+        let own_seed = seed ^ u64::from(std::process::id()) << 32 ^ now.to_bits();
         Membership {
-            machine: Members::new(setup.config.clone(), chance, now),
+            member: Member::new(setup.config.clone(), own_seed, now),
             setup: setup.clone(),
-            bound: None,
-            try_at: now,
+            sockets: None,
+            bind_at: now,
             exchanges: 0,
-            more: false,
-            buffer: vec![0; 64 * 1024],
+            has_more: false,
+            buffer: vec![0; RECEIVE_BUFFER_BYTES],
             taken: None,
         }
     }
 
-    /// Takes the address.
+    /// Binds the sockets to the member's address.
     ///
     /// # Errors
-    /// Another process has it, or the system has not.
+    /// Another process has the address, or the system does not.
     pub(super) fn bind(&mut self, registry: &Registry) -> io::Result<()> {
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("members at {}: {e}", self.setup.listen));
-        let mut bound = Bound {
-            datagrams: UdpSocket::bind(self.setup.listen).map_err(named)?,
-            listener: TcpListener::bind(self.setup.listen).map_err(named)?,
+        let listen = self.setup.listen;
+        let with_address =
+            |error: io::Error| io::Error::new(error.kind(), format!("members at {listen}: {error}"));
+        let mut sockets = MembershipSockets {
+            datagrams: UdpSocket::bind(listen).map_err(with_address)?,
+            listener: TcpListener::bind(listen).map_err(with_address)?,
         };
-        registry.register(&mut bound.datagrams, DATAGRAMS, Interest::READABLE)?;
-        registry.register(&mut bound.listener, EXCHANGES, Interest::READABLE)?;
-        log::info!("{}: members at {}", self.setup.config.name, self.setup.listen);
-        self.bound = Some(bound);
+        registry.register(&mut sockets.datagrams, DATAGRAMS, Interest::READABLE)?;
+        registry.register(&mut sockets.listener, EXCHANGES, Interest::READABLE)?;
+        log::info!("membership listening: member={} address={listen}", self.setup.config.name);
+        self.sockets = Some(sockets);
         Ok(())
     }
 
+    /// When the loop has to come back for it.
+    pub(super) fn next_wake(&self) -> Option<Millis> {
+        if self.sockets.is_some() {
+            self.member.next_timer()
+        } else if self.taken.is_none() {
+            Some(self.bind_at)
+        } else {
+            None
+        }
+    }
+
+    /// Whether datagrams may be left from the turn before.
+    pub(super) fn has_more(&self) -> bool {
+        self.has_more
+    }
+
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
-        if let Some(bound) = &self.bound {
-            let _ = bound.datagrams.send_to(bytes, to); // one that is lost is what the protocol is made for
+        if let Some(sockets) = &self.sockets {
+            let _ = sockets.datagrams.send_to(bytes, to); // the protocol copes with lost datagrams
         }
     }
 
-    /// When the loop has to come back for it.
-    pub(super) fn next_wake(&self) -> Option<Millis> {
-        match self.bound {
-            Some(_) => self.machine.next_wake(),
-            None if self.taken.is_none() => Some(self.try_at),
-            None => None,
+    /// Reads the datagrams of a turn.
+    fn receive_datagrams(&mut self, clock: &Clock, actions: &mut Vec<Action>) {
+        let now = clock.now();
+        self.has_more = false;
+        let Some(sockets) = &self.sockets else { return };
+        for turn in 0..=MAX_DATAGRAMS_PER_TURN {
+            let is_late = turn > 0 && clock.now() - now > MAX_DATAGRAM_TURN;
+            if turn == MAX_DATAGRAMS_PER_TURN || is_late {
+                self.has_more = true;
+                return;
+            }
+            match sockets.datagrams.recv_from(&mut self.buffer) {
+                Ok((length, from)) => {
+                    self.member.receive_datagram(from, &self.buffer[..length], now, actions);
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(_) => {} // the system tells of an earlier datagram of ours that reached nobody
+            }
         }
     }
 
-    /// Datagrams may be left.
-    pub(super) fn has_more(&self) -> bool {
-        self.more
+    fn retry_bind(&mut self, registry: &Registry, now: Millis) {
+        if self.sockets.is_some() || self.taken.is_some() || now < self.bind_at {
+            return;
+        }
+        if let Err(error) = self.bind(registry) {
+            self.bind_at = now + BIND_RETRY_INTERVAL;
+            log::debug!("membership not bound: error={error}");
+        }
+    }
+
+    fn run_timer(&mut self, now: Millis, actions: &mut Vec<Action>) {
+        if self.sockets.is_none() {
+            return;
+        }
+        if self.member.next_timer().is_some_and(|due| due <= now) {
+            self.member.advance(now, actions);
+        }
+    }
+
+    /// Begins a connection to another member from the member's own address.
+    fn connect(&self, to: SocketAddr) -> io::Result<TcpStream> {
+        let socket = RawSocket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
+        socket.set_nonblocking(true)?;
+        let own_ip = self.setup.listen.ip();
+        if to.is_ipv4() == own_ip.is_ipv4() {
+            socket.bind(&SocketAddr::new(own_ip, 0).into())?;
+        }
+        if let Err(error) = socket.connect(&SockAddr::from(to)) {
+            if error.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) {
+                return Err(error);
+            }
+        }
+        Ok(TcpStream::from_std(socket.into()))
     }
 }
 
 impl EventLoop {
     /// What this scheduler believes of others, where it is a member.
     pub(super) fn members_json(&self) -> Option<String> {
-        self.members.as_ref().map(|m| membership::json(&m.machine.view()))
+        let membership = self.members.as_ref()?;
+        Some(membership::json(&membership.member.view()))
     }
 
-    /// Metrics of membership.
+    /// The metrics of membership, where this scheduler is a member.
     pub(super) fn members_gauges(&self) -> Option<MembersGauges> {
-        self.members.as_ref().map(|m| MembersGauges::new(&m.machine.view(), m.machine.figures()))
+        let membership = self.members.as_ref()?;
+        Some(MembersGauges::new(&membership.member.view(), membership.member.metrics()))
     }
 
-    /// Takes the datagrams that wait, up to a turn's part.
+    /// Reads the datagrams that wait, up to a turn's part.
     pub(super) fn datagrams(&mut self) {
-        let now = self.clock.now();
-        let Some(m) = &mut self.members else { return };
-        let mut out = Vec::new();
-        m.more = false;
-        for n in 0.. {
-            let Some(bound) = &m.bound else { break };
-            if n == MOST_A_TURN || n > 0 && self.clock.now() - now > LONGEST_TURN {
-                m.more = true;
-                break;
-            }
-            match bound.datagrams.recv_from(&mut m.buffer) {
-                Ok((length, from)) => m.machine.datagram(from, &m.buffer[..length], now, &mut out),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => break,
-                Err(_) => {} // the system's word that an earlier one of ours reached nobody
-            }
-        }
-        self.carry_out(out);
+        let Some(membership) = &mut self.members else { return };
+        let mut actions = Vec::new();
+        membership.receive_datagrams(&self.clock, &mut actions);
+        self.carry_out(actions);
     }
 
-    /// Does for the members what time asks for.
+    /// Does for membership what is due by time.
     pub(super) fn mind_members(&mut self, now: Millis) {
         if self.members.as_ref().is_some_and(Membership::has_more) {
             self.datagrams();
         }
-        let successor = self.drain.has_successor();
-        let Some(m) = &mut self.members else { return };
-        if successor {
-            // The new process is this member from now on, at the same address.
+        if self.drain.has_successor() {
+            // The successor is this member from now on, at the same address.
             self.members = None;
             return;
         }
-        if m.bound.is_none() && m.taken.is_none() && now >= m.try_at {
-            if let Err(e) = m.bind(self.poll.registry()) {
-                m.try_at = now + TRY_AGAIN;
-                log::debug!("{e}");
-            }
-        }
-        let mut out = Vec::new();
-        if m.bound.is_some() && m.machine.next_wake().is_some_and(|at| at <= now) {
-            m.machine.wake(now, &mut out);
-        }
-        self.carry_out(out);
+        let Some(membership) = &mut self.members else { return };
+        let mut actions = Vec::new();
+        membership.retry_bind(self.poll.registry(), now);
+        membership.run_timer(now, &mut actions);
+        self.carry_out(actions);
     }
 
-    /// Says to the others that this scheduler ends.
+    /// Tells the other members that this scheduler ends.
     pub(super) fn leave_members(&mut self) {
         let now = self.clock.now();
-        let Some(m) = &mut self.members else { return };
-        let mut out = Vec::new();
-        m.machine.leave(now, &mut out);
-        self.carry_out(out);
+        let Some(membership) = &mut self.members else { return };
+        let mut actions = Vec::new();
+        membership.member.leave(now, &mut actions);
+        self.carry_out(actions);
         self.members = None;
     }
 
-    fn carry_out(&mut self, out: Vec<Action>) {
-        for action in out {
+    fn carry_out(&mut self, actions: Vec<Action>) {
+        for action in actions {
             match action {
-                Action::Datagram { to, bytes } => self.members.iter().for_each(|m| m.send(to, &bytes)),
-                Action::Exchange { with } => {
-                    if let Err(e) = self.exchange_with(with) {
-                        log::debug!("members: no exchange with {with}: {e}");
+                Action::SendDatagram { to, bytes } => {
+                    if let Some(membership) = &self.members {
+                        membership.send(to, &bytes);
+                    }
+                }
+                Action::ExchangeState { with } => {
+                    if let Err(error) = self.start_exchange(with) {
+                        log::debug!("state exchange failed: member={with} error={error}");
                     }
                 }
-                Action::End { why } => {
-                    log::error!("members: {why}; this scheduler ends");
-                    if let Some(m) = &mut self.members {
-                        (m.taken, m.bound) = (Some(why), None);
+                Action::Terminate { reason } => {
+                    log::error!("membership ended, scheduler shuts down: reason={reason}");
+                    if let Some(membership) = &mut self.members {
+                        membership.taken = Some(reason);
+                        membership.sockets = None;
                     }
                     self.terminate();
                 }
@@ -184,64 +232,68 @@
         }
     }
 
-    /// Opens a connection from the member's own address and sends its state.
-    fn exchange_with(&mut self, with: SocketAddr) -> io::Result<()> {
-        let until = self.clock.now() + membership::PATIENCE;
-        let Some(m) = self.members.as_mut().filter(|m| m.exchanges < MOST_EXCHANGES) else { return Ok(()) };
-        let raw = Raw::new(Domain::for_address(with), Type::STREAM, Some(Protocol::TCP))?;
-        raw.set_nonblocking(true)?;
-        if with.is_ipv4() == m.setup.listen.is_ipv4() {
-            raw.bind(&SocketAddr::new(m.setup.listen.ip(), 0).into())?;
+    /// Opens a connection to another member and sends this member's state.
+    fn start_exchange(&mut self, with: SocketAddr) -> io::Result<()> {
+        let deadline = self.clock.now() + EXCHANGE_TIMEOUT;
+        let Some(membership) = &mut self.members else { return Ok(()) };
+        if membership.exchanges >= MAX_EXCHANGES {
+            return Ok(());
         }
-        match raw.connect(&SockAddr::from(with)) {
-            Err(e) if e.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
-                return Err(e)
-            }
-            _ => {}
-        }
-        let mut new = StateExchange::new(true);
-        new.give(&m.machine.whole());
-        self.add(TcpStream::from_std(raw.into()), Role::StateExchange(new), true, until)?;
+        let stream = membership.connect(with)?;
+        let mut exchange = StateExchange::new(Side::Initiator);
+        exchange.send_state(&membership.member.encode_state());
+        self.add(stream, Role::StateExchange(exchange), true, deadline)?;
         Ok(())
     }
 
-    /// Takes connections of other members.
+    /// Accepts connections of other members.
     pub(super) fn accept_exchanges(&mut self) {
-        let until = self.clock.now() + membership::PATIENCE;
-        while let Some(bound) = self.members.as_ref().and_then(|m| m.bound.as_ref()) {
-            match bound.listener.accept() {
-                Ok((stream, _)) => {
-                    if self.members.as_ref().is_none_or(|m| m.exchanges >= MOST_EXCHANGES) {
-                        continue; // dropped: the other tries again
-                    }
-                    match self.add(stream, Role::StateExchange(StateExchange::new(false)), false, until) {
-                        Ok(key) => self.drive(key),
-                        Err(e) => log::warn!("members: a connection cannot be polled: {e}"),
-                    }
-                }
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+        let deadline = self.clock.now() + EXCHANGE_TIMEOUT;
+        loop {
+            let Some(membership) = &self.members else { return };
+            let Some(sockets) = &membership.sockets else { return };
+            match sockets.listener.accept() {
+                Ok(_) if membership.exchanges >= MAX_EXCHANGES => {} // dropped: the other member tries again
+                Ok((stream, _)) => self.add_exchange(stream, deadline),
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
                 Err(_) => return,
             }
         }
     }
 
-    /// Bytes of another's state have come.
+    fn add_exchange(&mut self, stream: TcpStream, deadline: Millis) {
+        let exchange = StateExchange::new(Side::Responder);
+        match self.add(stream, Role::StateExchange(exchange), false, deadline) {
+            Ok(key) => self.drive(key),
+            Err(error) => log::warn!("state exchange not polled: error={error}"),
+        }
+    }
+
+    /// Handles bytes of another member's state.
     pub(super) fn exchanged(&mut self, key: ConnectionId, bytes: &[u8], now: Millis) {
-        let Some(Socket { role: Role::StateExchange(c), .. }) = self.socket(key) else { return };
-        let asked = c.asked;
-        let whole = match c.receive(bytes) {
-            Ok(Some(whole)) => whole,
+        let Some(Socket { role: Role::StateExchange(exchange), .. }) = self.socket(key) else { return };
+        let side = exchange.side;
+        let state = match exchange.receive(bytes) {
+            Ok(Some(state)) => state,
             Ok(None) => return,
-            Err(membership::TooLong) => return self.close(key),
+            Err(StateTooLong { .. }) => return self.close(key),
         };
-        let Some(m) = &mut self.members else { return self.close(key) };
-        let mut out = Vec::new();
-        m.machine.take_whole(&whole, now, &mut out);
-        let mine = (!asked).then(|| m.machine.whole());
-        match (mine, self.socket(key)) {
-            (Some(mine), Some(Socket { role: Role::StateExchange(c), .. })) => c.give(&mine),
-            _ => self.close(key),
-        }
-        self.carry_out(out);
+        let Some(membership) = &mut self.members else { return self.close(key) };
+        let mut actions = Vec::new();
+        membership.member.merge_state(&state, now, &mut actions);
+        match side {
+            Side::Initiator => self.close(key),
+            Side::Responder => {
+                let own_state = membership.member.encode_state();
+                match self.socket(key) {
+                    Some(Socket { role: Role::StateExchange(exchange), .. }) => {
+                        exchange.send_state(&own_state);
+                    }
+                    _ => self.close(key),
+                }
+            }
+        }
+        self.carry_out(actions);
     }
 }
--- a/crates/node/src/golden_tests.rs
+++ b/crates/node/src/golden_tests.rs
@@ -6,7 +6,7 @@
 use crate::config::tests::config;
 use crate::discovery;
 use crate::intake::tests::job_of;
-use crate::membership::{json, MembersGauges, StateExchange};
+use crate::membership::{json, MembersGauges, Side, StateExchange};
 use crate::metrics::{DeferralGauges, FinalStatus, Gauges, Metrics};
 use crate::upgrade_protocol::{
     JobEnd, LearnedSnapshot, Link, Message, MigratedAttempt, MigratedConnection, MigratedDeferral,
@@ -14,7 +14,7 @@
 };
 use postusher_decision::{ClassEstimates, LearnedState, WorkerHistory, WorkerId};
 use postusher_deferred_jobs::JobEndStatus;
-use postusher_membership::{Config, Members};
+use postusher_membership::{Config, Member};
 use std::path::PathBuf;
 
 /// Compares bytes with a fixture.
@@ -165,14 +165,14 @@
     check("worker-request.txt", &job.unwrap().payload.request(250.0));
 }
 
-fn gauges(view: &Members) -> MembersGauges {
-    MembersGauges::new(&view.view(), view.figures())
+fn gauges(member: &Member) -> MembersGauges {
+    MembersGauges::new(&member.view(), member.metrics())
 }
 
-fn member() -> Members {
+fn member() -> Member {
     let config = Config::new("c", "a1", "lamia", "127.0.0.11:7946".parse().unwrap());
-    let mut member = Members::new(config, 1, 0.0);
-    member.wake(0.0, &mut Vec::new());
+    let mut member = Member::new(config, 1, 0.0);
+    member.advance(0.0, &mut Vec::new());
     member
 }
 
@@ -199,7 +199,7 @@
 
 #[test]
 fn the_frame_of_an_exchanged_state_keeps_its_bytes() {
-    let mut exchange = StateExchange::new(true);
-    exchange.give(b"state");
+    let mut exchange = StateExchange::new(Side::Initiator);
+    exchange.send_state(b"state");
     check("exchange-frame.bin", exchange.outbox.unsent());
 }
--- a/crates/node/src/membership.rs
+++ b/crates/node/src/membership.rs
@@ -1,67 +1,90 @@
-//! Membership without its sockets: whole states as they go over a connection, and what operators get to see.
+//! Membership without its sockets: complete states as they go over a connection, and what operators get to see.
 
 use crate::clock::Millis;
 use crate::http::Outbox;
-use postusher_membership::{Figures, View, KINDS, MOST_WHOLE};
+use postusher_membership::{MemberState, MembershipView, Metrics, MAX_STATE_BYTES, PART_KINDS};
 use serde::{Serialize, Serializer};
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// An exchange of whole states takes no longer.
-pub const PATIENCE: Millis = 2_500.0;
+#[cfg(test)]
+mod tests;
+
+/// The longest time that an exchange of states may take.
+pub const EXCHANGE_TIMEOUT: Millis = 2_500.0;
+
+/// The names of the kinds of message parts in `GET /stats`, in the order of [`Metrics::parts_sent`].
+const PART_KIND_NAMES: [&str; PART_KINDS] =
+    ["ping", "ack", "ask", "proof", "record", "accusation", "claim", "held"];
+
+/// Which of two members opened a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Side {
+    /// This one: it sends its state first.
+    Initiator,
+    /// The other one: this one answers with its state.
+    Responder,
+}
 
-/// A connection over which two members exchange their states: each sends one, behind its length.
+/// A connection over which two members exchange their states: each sends one, after its length.
 pub struct StateExchange {
-    /// This side has opened it.
-    pub asked: bool,
+    /// Who opened the connection.
+    pub side: Side,
     inbox: Vec<u8>,
     /// What waits to be written.
     pub outbox: Outbox,
-    /// It may be closed once all is written.
-    pub done: bool,
+    /// The other member's state has arrived.
+    received: bool,
 }
 
-/// Why a connection is of no use any more.
-#[derive(Debug, PartialEq)]
-pub struct TooLong;
+/// A state that is longer than any can be.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("a state of {bytes} bytes is longer than {MAX_STATE_BYTES}")]
+pub struct StateTooLong {
+    /// Its length, as its sender says.
+    pub bytes: usize,
+}
 
 impl StateExchange {
-    /// A new connection; whoever opened it sends its state at once.
-    pub fn new(asked: bool) -> StateExchange {
-        StateExchange { asked, inbox: Vec::new(), outbox: Outbox::default(), done: false }
+    /// A new connection.
+    pub fn new(side: Side) -> StateExchange {
+        StateExchange { side, inbox: Vec::new(), outbox: Outbox::default(), received: false }
     }
 
-    /// Sends a state.
-    pub fn give(&mut self, whole: &[u8]) {
-        self.outbox.put(&(whole.len() as u32).to_be_bytes());
-        self.outbox.put(whole);
+    /// Sends this member's state.
+    pub fn send_state(&mut self, state: &[u8]) {
+        self.outbox.put(&(state.len() as u32).to_be_bytes());
+        self.outbox.put(state);
     }
 
-    /// Takes in bytes; gives the other's state once it is whole.
+    /// Receives bytes; returns the other member's state once it is complete.
     ///
     /// # Errors
-    /// It would be longer than a state can be.
-    pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<Vec<u8>>, TooLong> {
-        if self.done {
+    /// The state would be too long; the connection is of no use any more.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Option<Vec<u8>>, StateTooLong> {
+        if self.received {
             return Ok(None); // one state comes over a connection
         }
         self.inbox.extend(bytes);
         let Some((length, rest)) = self.inbox.split_first_chunk::<4>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > MOST_WHOLE {
-            return Err(TooLong);
+        if length > MAX_STATE_BYTES {
+            return Err(StateTooLong { bytes: length });
         }
-        let whole = rest.get(..length).map(<[u8]>::to_vec);
-        self.done = whole.is_some();
-        Ok(whole)
+        let Some(state) = rest.get(..length) else { return Ok(None) };
+        self.received = true;
+        Ok(Some(state.to_vec()))
     }
 }
 
 /// The answer to `GET /members`.
 #[derive(Serialize)]
-struct Shown<'a> {
+struct ShownMembership<'a> {
     name: &'a str,
-    view: u64,
-    minority: bool,
+    #[serde(rename = "view")]
+    view_version: u64,
+    #[serde(rename = "minority")]
+    is_minority: bool,
     members: Vec<ShownMember<'a>>,
 }
 
@@ -74,17 +97,34 @@
     state: &'static str,
 }
 
+/// A member's state as operators see it.
+fn shown_state(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspect",
+        MemberState::Removed => "gone",
+        MemberState::Left => "left",
+    }
+}
+
 /// What a member believes of all, as JSON.
-pub fn json(view: &View) -> String {
-    let members = view.members.iter().map(|m| ShownMember {
-        name: &m.record.name,
-        zone: &m.record.zone,
-        addr: m.record.addr,
-        incarnation: m.record.incarnation,
-        state: m.state(),
-    });
-    let (name, minority, number) = (view.name.as_str(), view.minority, view.view);
-    let shown = Shown { name, view: number, minority, members: members.collect() };
+pub fn json(view: &MembershipView) -> String {
+    let mut members = Vec::with_capacity(view.members.len());
+    for member in &view.members {
+        members.push(ShownMember {
+            name: &member.record.name,
+            zone: &member.record.zone,
+            addr: member.record.addr,
+            incarnation: member.record.incarnation,
+            state: shown_state(member.state()),
+        });
+    }
+    let shown = ShownMembership {
+        name: &view.name,
+        view_version: view.version,
+        is_minority: view.is_minority,
+        members,
+    };
     serde_json::to_string(&shown).unwrap_or_default() // text and numbers always have a form
 }
 
@@ -93,84 +133,61 @@
 pub struct MembersGauges {
     alive: usize,
     suspect: usize,
-    minority: bool,
-    probes: u64,
-    missed: u64,
-    indirect: u64,
-    suspected: u64,
-    refuted: u64,
-    removed: u64,
+    #[serde(rename = "minority")]
+    is_minority: bool,
+    #[serde(rename = "probes")]
+    pings: u64,
+    #[serde(rename = "missed")]
+    missed_acks: u64,
+    #[serde(rename = "indirect")]
+    ping_requests: u64,
+    #[serde(rename = "suspected")]
+    accusations: u64,
+    #[serde(rename = "refuted")]
+    refutations: u64,
+    #[serde(rename = "removed")]
+    removals: u64,
     false_removals: u64,
-    #[serde(serialize_with = "by_kind")]
-    sent: [u64; 8],
+    #[serde(rename = "sent", serialize_with = "serialize_by_kind")]
+    parts_sent: [u64; PART_KINDS],
     datagrams_sent: u64,
-    datagrams_taken: u64,
+    #[serde(rename = "datagrams_taken")]
+    datagrams_received: u64,
     bytes_sent: u64,
-    exchanges: u64,
-    garbage: u64,
-    woken_late_ms: u64,
+    #[serde(rename = "exchanges")]
+    state_exchanges: u64,
+    #[serde(rename = "garbage")]
+    decode_errors: u64,
+    #[serde(rename = "woken_late_ms")]
+    late_millis: u64,
 }
 
-fn by_kind<S: Serializer>(parts: &[u64; 8], to: S) -> Result<S::Ok, S::Error> {
-    to.collect_map(KINDS.iter().zip(parts))
+fn serialize_by_kind<S: Serializer>(parts: &[u64; PART_KINDS], serializer: S) -> Result<S::Ok, S::Error> {
+    serializer.collect_map(PART_KIND_NAMES.iter().zip(parts))
 }
 
 impl MembersGauges {
-    /// Of what a member believes and has counted.
-    pub fn new(view: &View, f: Figures) -> MembersGauges {
-        let states = |state: &str| view.members.iter().filter(|m| m.state() == state).count();
+    /// The gauges of a member's view and metrics.
+    pub fn new(view: &MembershipView, metrics: Metrics) -> MembersGauges {
+        let count = |state: MemberState| view.members.iter().filter(|member| member.state() == state).count();
         MembersGauges {
-            alive: states("alive"),
-            suspect: states("suspect"),
-            minority: view.minority,
-            probes: f.probes,
-            missed: f.missed,
-            indirect: f.indirect,
-            suspected: f.suspected,
-            refuted: f.refuted,
-            removed: f.removed,
-            false_removals: f.false_removals,
-            sent: f.parts,
-            datagrams_sent: f.datagrams,
-            datagrams_taken: f.taken,
-            bytes_sent: f.bytes,
-            exchanges: f.exchanges,
-            garbage: f.garbage,
-            woken_late_ms: f.slept,
+            alive: count(MemberState::Alive),
+            suspect: count(MemberState::Suspect),
+            is_minority: view.is_minority,
+            pings: metrics.pings,
+            missed_acks: metrics.missed_acks,
+            ping_requests: metrics.ping_requests,
+            accusations: metrics.accusations,
+            refutations: metrics.refutations,
+            removals: metrics.removals,
+            false_removals: metrics.false_removals,
+            parts_sent: metrics.parts_sent,
+            datagrams_sent: metrics.datagrams_sent,
+            datagrams_received: metrics.datagrams_received,
+            bytes_sent: metrics.bytes_sent,
+            state_exchanges: metrics.state_exchanges,
+            decode_errors: metrics.decode_errors,
+            late_millis: metrics.late_millis,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use postusher_membership::{Config, Members};
-
-    #[test]
-    fn a_state_comes_whole_however_it_is_cut() {
-        let mut sent = StateExchange::new(true);
-        sent.give(b"all that I know");
-        for cut in 0..sent.outbox.unsent().len() {
-            let (first, rest) = sent.outbox.unsent().split_at(cut);
-            let mut to = StateExchange::new(false);
-            assert_eq!(to.receive(first), Ok(None));
-            assert_eq!(to.receive(rest), Ok(Some(b"all that I know".to_vec())), "{cut}");
-            assert!(to.done && to.receive(b"more") == Ok(None));
-        }
-        assert_eq!(StateExchange::new(false).receive(&[0xff; 9]), Err(TooLong));
-    }
-
-    #[test]
-    fn operators_see_every_member_with_its_state() {
-        let config = Config::new("c", "a1", "lamia", "127.0.0.11:7946".parse().unwrap());
-        let mut a = Members::new(config, 1, 0.0);
-        a.wake(0.0, &mut Vec::new());
-        let shown: serde_json::Value = serde_json::from_str(&json(&a.view())).unwrap();
-        let me = serde_json::json!({"name": "a1", "zone": "lamia", "addr": "127.0.0.11:7946", "incarnation": 1,
-            "state": "alive"});
-        assert_eq!(shown, serde_json::json!({"name": "a1", "view": 1, "minority": false, "members": [me]}));
-        let gauges = serde_json::to_value(MembersGauges::new(&a.view(), a.figures())).unwrap();
-        assert_eq!(gauges["sent"]["accusation"], serde_json::json!(0));
-        assert_eq!((&gauges["alive"], &gauges["probes"]), (&serde_json::json!(1), &serde_json::json!(0)));
-    }
-}
--- a/crates/node/tests/serve/members.rs
+++ b/crates/node/tests/serve/members.rs
@@ -78,7 +78,7 @@
     let b = member("members-other", "b", at_b, &[at_a]);
     comes(&b, "GET /members", &believed("a", at_a, 1, "alive"));
     let mut second = member("members-second", "a", at_c, &[at_b]);
-    second.logs("a: another process that runs has its name; this scheduler ends");
+    second.logs("membership ended, scheduler shuts down: reason=a: another process that runs has its name");
     assert!(!second.process.wait().unwrap().success());
     assert!(
         b.call("GET /members").1.contains(&believed("a", at_a, 1, "alive")) && a.says_yes("GET /healthcheck")
--- a/crates/setup/src/members.rs
+++ b/crates/setup/src/members.rs
@@ -24,10 +24,10 @@
     e.need("listen", mistakes, units::fixed_address, &mut listen);
     e.read("advertise", mistakes, |t| units::fixed_address(t).map(Some), &mut advertise);
     e.read("cluster", mistakes, units::label, &mut m.cluster);
-    e.read("probe", mistakes, units::positive_duration, &mut m.times.probe);
-    e.read("suspicion", mistakes, units::positive_duration, &mut m.times.suspicion);
-    e.read("removal", mistakes, units::duration, &mut m.times.removal);
-    e.read("forget", mistakes, units::positive_duration, &mut m.times.forget);
+    e.read("probe", mistakes, units::positive_duration, &mut m.timing.probe_interval);
+    e.read("suspicion", mistakes, units::positive_duration, &mut m.timing.suspicion_timeout);
+    e.read("removal", mistakes, units::duration, &mut m.timing.removal_delay);
+    e.read("forget", mistakes, units::positive_duration, &mut m.timing.forget_after);
     e.no_more_attributes(mistakes);
     for mut child in e.children(mistakes) {
         if !child.is("seed") {
@@ -41,11 +41,11 @@
         m.seeds.push(addr);
     }
     // In doubt from two intervals on, it takes some pings more to be sure of anything.
-    if mistakes.len() == before && m.times.suspicion < 4.0 * m.times.probe {
-        let (is, least) = (m.times.suspicion, 4.0 * m.times.probe);
+    if mistakes.len() == before && m.timing.suspicion_timeout < 4.0 * m.timing.probe_interval {
+        let (is, least) = (m.timing.suspicion_timeout, 4.0 * m.timing.probe_interval);
         e.wrong(
             mistakes,
-            format!("suspicion is {is} ms, {:.1} times probe", is / m.times.probe),
+            format!("suspicion is {is} ms, {:.1} times probe", is / m.timing.probe_interval),
             format!("write 4 times probe at least, such as suspicion=\"{least}ms\""),
         );
     }
--- a/crates/setup/tests/samples.rs
+++ b/crates/setup/tests/samples.rs
@@ -84,7 +84,10 @@
     let config = members.config;
     assert_eq!((config.name.as_str(), config.zone.as_str(), config.seeds.len()), ("a1", "lamia", 2));
     assert_eq!((config.addr.to_string().as_str(), config.cluster.as_str()), ("127.0.0.21:7946", "athens"));
-    assert_eq!((config.times.probe, config.times.suspicion, config.times.removal), (500.0, 3_000.0, 0.0));
+    assert_eq!(
+        (config.timing.probe_interval, config.timing.suspicion_timeout, config.timing.removal_delay),
+        (500.0, 3_000.0, 0.0)
+    );
     let short = r#"<postusher><members name="a" zone="z" listen="127.0.0.1:1" suspicion="3s"/></postusher>"#;
     let mistakes = read(short).unwrap_err();
     assert_eq!(
--- a/crates/testbed/examples/member_cost.rs
+++ b/crates/testbed/examples/member_cost.rs
@@ -3,7 +3,7 @@
 //! this process, which plays no part in the figure.
 
 use anyhow::{bail, Context, Result};
-use postusher_membership::{Action, Config, Members};
+use postusher_membership::{Action, Config, Member, MemberState};
 use postusher_testbed::virtual_net::name;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -23,7 +23,7 @@
 /// The others.
 struct Others {
     begun: Instant,
-    members: Vec<(Members, UdpSocket)>,
+    members: Vec<(Member, UdpSocket)>,
 }
 
 impl Others {
@@ -39,18 +39,18 @@
             let (member, socket) = &mut self.members[n];
             while let Ok((length, from)) = socket.recv_from(&mut bytes) {
                 came += 1;
-                member.datagram(from, &bytes[..length], now, &mut out);
+                member.receive_datagram(from, &bytes[..length], now, &mut out);
             }
-            if member.next_wake().is_some_and(|at| at <= now) {
-                member.wake(now, &mut out);
+            if member.next_timer().is_some_and(|at| at <= now) {
+                member.advance(now, &mut out);
             }
             for action in out {
                 match action {
-                    Action::Datagram { to, bytes } => {
+                    Action::SendDatagram { to, bytes } => {
                         let _ = self.members[n].1.send_to(&bytes, to);
                     }
-                    Action::Exchange { with } => self.exchange(n, with),
-                    Action::End { why } => bail!("{why}"),
+                    Action::ExchangeState { with } => self.exchange(n, with),
+                    Action::Terminate { reason } => bail!("{reason}"),
                 }
             }
         }
@@ -61,10 +61,10 @@
     fn exchange(&mut self, n: usize, with: SocketAddr) {
         let now = self.now();
         let Some(other) = (0..self.members.len()).find(|m| addr(m + 1) == with) else { return };
-        let (mine, theirs) = (self.members[n].0.whole(), self.members[other].0.whole());
+        let (mine, theirs) = (self.members[n].0.encode_state(), self.members[other].0.encode_state());
         // What would be sent at once is sent with the next wake.
-        self.members[other].0.take_whole(&mine, now, &mut Vec::new());
-        self.members[n].0.take_whole(&theirs, now, &mut Vec::new());
+        self.members[other].0.merge_state(&mine, now, &mut Vec::new());
+        self.members[n].0.merge_state(&theirs, now, &mut Vec::new());
     }
 
     /// The real one asks the seed for its state, or tells its own.
@@ -76,10 +76,10 @@
         let mut whole = vec![0; u32::from_be_bytes(length) as usize];
         stream.read_exact(&mut whole)?;
         let now = self.now();
-        let mine = self.members[0].0.whole();
+        let mine = self.members[0].0.encode_state();
         stream.write_all(&(mine.len() as u32).to_be_bytes())?;
         stream.write_all(&mine)?;
-        self.members[0].0.take_whole(&whole, now, &mut Vec::new());
+        self.members[0].0.merge_state(&whole, now, &mut Vec::new());
         Ok(())
     }
 }
@@ -129,7 +129,7 @@
         let seeds = if n == 1 { Vec::new() } else { vec![addr(1)] };
         let socket = UdpSocket::bind(addr(n))?;
         socket.set_nonblocking(true)?;
-        others.members.push((Members::new(Config { seeds, ..config }, n as u64, 0.0), socket));
+        others.members.push((Member::new(Config { seeds, ..config }, n as u64, 0.0), socket));
     }
     let dir = std::env::temp_dir().join(format!("member-cost-{}", std::process::id()));
     let mut real = start(&program, &dir)?;
@@ -151,7 +151,7 @@
             std::thread::sleep(Duration::from_micros(500));
         }
         let since = others.begun.elapsed();
-        let knows = |m: &Members| m.view().members.iter().filter(|v| v.state() == "alive").count();
+        let knows = |m: &Member| m.view().members.iter().filter(|v| v.state() == MemberState::Alive).count();
         if counted.is_none() && since > settle {
             let agreed = others.members.iter().filter(|(m, _)| knows(m) == members).count();
             counted = Some((cpu(real.id())?, since, agreed));
--- a/crates/testbed/examples/members.rs
+++ b/crates/testbed/examples/members.rs
@@ -3,7 +3,7 @@
 
 use anyhow::{Context, Result};
 use plotters::prelude::*;
-use postusher_membership::{Devices, Standing};
+use postusher_membership::{Mechanisms, MemberStatus};
 use postusher_testbed::detectors::{self, Case, Way};
 use postusher_testbed::schedulers::resident_kib;
 use postusher_testbed::virtual_net::{Links, Net, Seen};
@@ -17,21 +17,22 @@
 const INTERVAL: f64 = 1_000.0;
 
 fn gone_wrongly(net: &Net, right: &[usize]) -> usize {
-    let wrong = |s: &&Seen| s.standing == Standing::Gone && !right.contains(&s.of);
+    let wrong = |s: &&Seen| s.status == MemberStatus::Removed && !right.contains(&s.of);
     net.seen.iter().filter(wrong).count()
 }
 
 /// Times to know of a crash, of each member that is left, in intervals, in order.
-fn crash(n: usize, loss: f64, seeds: u64, devices: Devices) -> (Vec<f64>, usize, usize) {
+fn crash(n: usize, loss: f64, seeds: u64, mechanisms: Mechanisms) -> (Vec<f64>, usize, usize) {
     let (mut times, mut unknown, mut wrong) = (Vec::new(), 0, 0);
     for seed in 0..seeds {
-        let mut net = Net::settled(n, 3, 1_000 + seed, devices);
+        let mut net = Net::settled(n, 3, 1_000 + seed, mechanisms);
         net.links(Links { loss, ..Links::default() });
         let at = net.now();
         net.kill(n / 2);
         net.run(25_000.0);
         for by in (0..n).filter(|by| *by != n / 2) {
-            let seen = net.seen.iter().find(|s| s.by == by && s.of == n / 2 && s.standing == Standing::Gone);
+            let seen =
+                net.seen.iter().find(|s| s.by == by && s.of == n / 2 && s.status == MemberStatus::Removed);
             match seen {
                 Some(seen) => times.push((seen.at - at) / INTERVAL),
                 None => unknown += 1,
@@ -110,8 +111,8 @@
 }
 
 /// The program's own way on a case of the other ways.
-fn own(case: &Case, seed: u64, devices: Devices) -> detectors::Found {
-    let mut net = Net::settled(case.members, 3, seed, devices);
+fn own(case: &Case, seed: u64, mechanisms: Mechanisms) -> detectors::Found {
+    let mut net = Net::settled(case.members, 3, seed, mechanisms);
     net.links(case.links);
     case.cut.iter().for_each(|(from, to)| net.cut(*from, *to));
     case.killed.into_iter().for_each(|n| net.kill(n));
@@ -125,7 +126,7 @@
     let (known, wrong) = net
         .seen
         .iter()
-        .filter(|s| s.standing == Standing::Gone)
+        .filter(|s| s.status == MemberStatus::Removed)
         .partition::<Vec<&Seen>, _>(|s| case.killed == Some(s.of));
     detectors::Found {
         known: known.into_iter().map(|s| s.at - begun).collect(),
@@ -169,16 +170,16 @@
     found.iter().flat_map(|f| &f.wrong).filter(|(_, of)| !right.contains(of)).count()
 }
 
-/// The protocol with each of its devices left out, on the same faults.
+/// The protocol with each of its mechanisms left out, on the same faults.
 fn left_out(page: &mut String) -> Result<()> {
-    let all = Devices::default();
+    let all = Mechanisms::default();
     let variants = [
-        ("most observers", Devices { quorum: false, ..all }),
-        ("indirect pings", Devices { indirect: false, ..all }),
-        ("refutation", Devices { refute: false, ..all }),
-        ("higher incarnations", Devices { raise: false, ..all }),
-        ("own pauses taken out", Devices { pauses: false, ..all }),
-        ("the majority", Devices { majority: false, ..all }),
+        ("most observers", Mechanisms { quorum: false, ..all }),
+        ("indirect pings", Mechanisms { indirect_pings: false, ..all }),
+        ("refutation", Mechanisms { refutation: false, ..all }),
+        ("higher incarnations", Mechanisms { raised_incarnation: false, ..all }),
+        ("own pauses taken out", Mechanisms { pause_compensation: false, ..all }),
+        ("the majority", Mechanisms { majority: false, ..all }),
     ];
     let names: Vec<&str> = variants.iter().map(|(name, _)| *name).collect();
     writeln!(
@@ -188,8 +189,8 @@
     writeln!(page, "| what | {} |\n| ---{} |", names.join(" | "), " | ---".repeat(names.len()))?;
     let seeds: Vec<u64> = (0..10).collect();
     for (what, case, right) in cases() {
-        let counts = variants.map(|(_, devices)| {
-            let found = each(&seeds, |seed| own(&case, 5_000 + seed, devices));
+        let counts = variants.map(|(_, mechanisms)| {
+            let found = each(&seeds, |seed| own(&case, 5_000 + seed, mechanisms));
             wrong(&found, right).to_string()
         });
         writeln!(page, "| {what} | {} |", counts.join(" | "))?;
@@ -207,7 +208,7 @@
         let mut row = String::new();
         for way in [None, Some(Way::Swim), Some(Way::Phi)] {
             let found = each(&seeds, |seed| match way {
-                None => own(case, 5_000 + seed, Devices::default()),
+                None => own(case, 5_000 + seed, Mechanisms::default()),
                 Some(way) => detectors::play(way, case, 5_000 + seed),
             });
             let wrong = wrong(&found, right);
@@ -239,7 +240,7 @@
     for (n, clusters) in [(10usize, 100usize), (100, 5), (300, 2), (1_000, 1)] {
         let resident = || resident_kib(std::process::id()).context("no VmRSS");
         let before = resident()?;
-        kept.extend((0..clusters as u64).map(|seed| Net::settled(n, 3, 6_000 + seed, Devices::default())));
+        kept.extend((0..clusters as u64).map(|seed| Net::settled(n, 3, 6_000 + seed, Mechanisms::default())));
         let each = (resident()? - before) as f64 / (n * clusters) as f64;
         writeln!(page, "| {n} | {each:.0} | {:.0} |", 1024.0 * each / n as f64)?;
     }
@@ -249,7 +250,7 @@
 /// What 300 members make of events that befall most of them.
 fn mass(page: &mut String) -> Result<()> {
     let whole = |net: &Net| net.agree() && (0..300).all(|n| !net.machine(n).is_minority());
-    let mut net = Net::new(300, 3, 13, Devices::default());
+    let mut net = Net::new(300, 3, 13, Mechanisms::default());
     (0..30).for_each(|n| net.start(n));
     net.run(20_000.0);
     (30..300).for_each(|n| net.start(n));
@@ -310,7 +311,7 @@
     let seeds = |n: usize| (60 / n as u64).clamp(1, 10);
     let results: Vec<_> = cases
         .chunks(6)
-        .flat_map(|few| each(few, |(n, loss)| crash(*n, *loss, seeds(*n), Devices::default())))
+        .flat_map(|few| each(few, |(n, loss)| crash(*n, *loss, seeds(*n), Mechanisms::default())))
         .collect();
     let mut lines: Vec<(String, Vec<(f64, f64)>)> =
         losses.iter().map(|loss| (format!("loss {loss}, p99"), Vec::new())).collect();
@@ -326,23 +327,23 @@
     writeln!(page, "## Removed wrongly\n\nDelays of 150 to 450 ms, a tenth doubled; 10 members, 20 seeds. Of the others a tenth of that time.\n")?;
     writeln!(page, "| loss | member-hours | protocol, whole time | without most observers | without indirect pings | without refutation | one accuser, no refutation | heartbeats of each to all |")?;
     writeln!(page, "| --- | --- | --- | --- | --- | --- | --- | --- |")?;
-    let all = Devices::default();
+    let all = Mechanisms::default();
     let variants = [
         all,
-        Devices { quorum: false, ..all },
-        Devices { indirect: false, ..all },
-        Devices { refute: false, ..all },
-        Devices { quorum: false, refute: false, ..all },
+        Mechanisms { quorum: false, ..all },
+        Mechanisms { indirect_pings: false, ..all },
+        Mechanisms { refutation: false, ..all },
+        Mechanisms { quorum: false, refutation: false, ..all },
     ];
     let seeds: Vec<u64> = (0..20).collect();
     for loss in [0.1, 0.3, 0.5] {
         let mut row = String::new();
-        for (n, devices) in variants.iter().enumerate() {
+        for (n, mechanisms) in variants.iter().enumerate() {
             let lasts = hours / seeds.len() as f64 / if n == 0 { 1.0 } else { 10.0 };
             let mut wrong = 0;
             for few in seeds.chunks(5) {
                 wrong += each(few, |seed| {
-                    let mut net = Net::settled(10, 3, 2_000 + seed, *devices);
+                    let mut net = Net::settled(10, 3, 2_000 + seed, *mechanisms);
                     net.links(Links { loss, twice: 0.1, delay: (150.0, 450.0) });
                     net.run(lasts * 3_600_000.0);
                     gone_wrongly(&net, &[])
@@ -368,7 +369,7 @@
             net.run(pause * INTERVAL);
             net.go_on(4);
             net.run(20_000.0);
-            removed += usize::from(net.seen.iter().any(|s| s.of == 4 && s.standing == Standing::Gone));
+            removed += usize::from(net.seen.iter().any(|s| s.of == 4 && s.status == MemberStatus::Removed));
             others += gone_wrongly(&net, &[4]);
         }
         (removed, others)
--- a/crates/testbed/src/virtual_net.rs
+++ b/crates/testbed/src/virtual_net.rs
@@ -1,7 +1,9 @@
-//! Members of a cluster by the thousand over a modelled network in virtual time: the program's own state machine, with links
+//! Member of a cluster by the thousand over a modelled network in virtual time: the program's own state machine, with links
 //! that lose, delay, double, reorder and cut. The same seed plays the same to the byte.
 
-use postusher_membership::{Action, Config, Devices, Members, Standing, Times, MOST_BYTES, VERSION};
+use postusher_membership::{
+    Action, Config, Mechanisms, Member, MemberStatus, Timing, MAX_DATAGRAM_BYTES, PROTOCOL_VERSION,
+};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -52,12 +54,12 @@
     /// Of whom.
     pub of: usize,
     /// What.
-    pub standing: Standing,
+    pub status: MemberStatus,
 }
 
 struct Process {
     config: Config,
-    machine: Members,
+    machine: Member,
     runs: bool,
     /// Stopped: what comes waits until it goes on.
     stopped: bool,
@@ -65,7 +67,7 @@
     /// Wakes of earlier processes are void.
     life: u64,
     ended: Option<String>,
-    believed: BTreeMap<String, Standing>,
+    believed: BTreeMap<String, MemberStatus>,
     view: u64,
 }
 
@@ -107,20 +109,20 @@
 
 impl Net {
     /// So many processes in so many zones, in turn; none runs yet.
-    pub fn new(n: usize, zones: usize, seed: u64, devices: Devices) -> Net {
-        Net::with_times(n, zones, seed, devices, Times::default())
+    pub fn new(n: usize, zones: usize, seed: u64, mechanisms: Mechanisms) -> Net {
+        Net::with_timing(n, zones, seed, mechanisms, Timing::default())
     }
 
-    /// With other times.
-    pub fn with_times(n: usize, zones: usize, seed: u64, devices: Devices, times: Times) -> Net {
+    /// With another timing.
+    pub fn with_timing(n: usize, zones: usize, seed: u64, mechanisms: Mechanisms, timing: Timing) -> Net {
         let config = |i: usize| {
             let config = Config::new("lab", &name(i), &format!("z{}", i % zones), addr(i));
-            Config { seeds: (0..n.min(3)).map(addr).collect(), devices, times, ..config }
+            Config { seeds: (0..n.min(3)).map(addr).collect(), mechanisms, timing, ..config }
         };
         let process = |i| {
             let config = config(i);
             Process {
-                machine: Members::new(config.clone(), 0, 0.0),
+                machine: Member::new(config.clone(), 0, 0.0),
                 config,
                 runs: false,
                 stopped: false,
@@ -147,8 +149,8 @@
     }
 
     /// A cluster of this size that has come together.
-    pub fn settled(n: usize, zones: usize, seed: u64, devices: Devices) -> Net {
-        let mut net = Net::new(n, zones, seed, devices);
+    pub fn settled(n: usize, zones: usize, seed: u64, mechanisms: Mechanisms) -> Net {
+        let mut net = Net::new(n, zones, seed, mechanisms);
         (0..n).for_each(|i| net.start(i));
         net.run(30_000.0);
         net.seen.clear();
@@ -205,8 +207,8 @@
     fn spoken_by(&self, from: usize, mut bytes: Vec<u8>) -> Vec<u8> {
         const PART: [u8; 6] = [201, 0, 3, 1, 2, 3];
         if self.newer.contains(&from) {
-            bytes[2] = VERSION + 1;
-            let fits = bytes.len() + PART.len() <= MOST_BYTES;
+            bytes[2] = PROTOCOL_VERSION + 1;
+            let fits = bytes.len() + PART.len() <= MAX_DATAGRAM_BYTES;
             bytes.extend(PART.iter().filter(|_| fits));
         }
         bytes
@@ -229,7 +231,7 @@
         if let Some(other) = called {
             p.config.name = name(other);
         }
-        p.machine = Members::new(p.config.clone(), seed, its);
+        p.machine = Member::new(p.config.clone(), seed, its);
         (p.runs, p.stopped, p.ended) = (true, false, None);
         p.life += 1;
         p.inbox.clear();
@@ -270,7 +272,7 @@
     }
 
     /// The state machine of a process.
-    pub fn machine(&self, n: usize) -> &Members {
+    pub fn machine(&self, n: usize) -> &Member {
         &self.processes[n].machine
     }
 
@@ -281,14 +283,14 @@
 
     /// Whether a process runs and has joined.
     pub fn is_in(&self, n: usize) -> bool {
-        self.processes[n].runs && self.machine(n).is_in()
+        self.processes[n].runs && self.machine(n).has_joined()
     }
 
     /// What a process believes: the numbers of those that are there, suspect ones included.
     pub fn there(&self, n: usize) -> BTreeSet<usize> {
         let all = 0..self.processes.len();
         let alive =
-            |of: &usize| self.machine(n).record(&name(*of)).is_some_and(|r| r.standing == Standing::Alive);
+            |of: &usize| self.machine(n).record(&name(*of)).is_some_and(|r| r.status == MemberStatus::Alive);
         all.filter(alive).collect()
     }
 
@@ -333,19 +335,21 @@
         let mut out = Vec::new();
         match event {
             Event::Wake(..) => {
-                p.machine.wake(its, &mut out);
+                p.machine.advance(its, &mut out);
                 let late = self.slow.get(&n).copied().unwrap_or(0.0);
-                let at = p.machine.next_wake().map(|at| at - its + now + late * self.rng.random::<f64>());
+                let at = p.machine.next_timer().map(|at| at - its + now + late * self.rng.random::<f64>());
                 let life = p.life;
                 at.into_iter().for_each(|at| self.put(at, Event::Wake(n, life)));
             }
-            Event::Datagram { from, bytes, .. } => p.machine.datagram(addr(from), &bytes, its, &mut out),
+            Event::Datagram { from, bytes, .. } => {
+                p.machine.receive_datagram(addr(from), &bytes, its, &mut out)
+            }
             Event::Whole { from, bytes, answer, .. } => {
                 if answer {
-                    let bytes = p.machine.whole();
+                    let bytes = p.machine.encode_state();
                     self.whole(n, from, bytes, false);
                 }
-                self.processes[n].machine.take_whole(&bytes, its, &mut out);
+                self.processes[n].machine.merge_state(&bytes, its, &mut out);
             }
         }
         self.carry_out(n, out);
@@ -355,13 +359,13 @@
     fn carry_out(&mut self, n: usize, out: Vec<Action>) {
         for action in out {
             match action {
-                Action::Datagram { to, bytes } => self.datagram(n, to, bytes),
-                Action::Exchange { with } => {
-                    let bytes = self.processes[n].machine.whole();
+                Action::SendDatagram { to, bytes } => self.datagram(n, to, bytes),
+                Action::ExchangeState { with } => {
+                    let bytes = self.processes[n].machine.encode_state();
                     number(with).into_iter().for_each(|to| self.whole(n, to, bytes.clone(), true));
                 }
-                Action::End { why } => {
-                    self.processes[n].ended = Some(why);
+                Action::Terminate { reason } => {
+                    self.processes[n].ended = Some(reason.to_string());
                     self.kill(n);
                 }
             }
@@ -400,17 +404,17 @@
     /// Notes what has changed in a process's view.
     fn look(&mut self, n: usize) {
         let (now, p) = (self.now, &mut self.processes[n]);
-        let view = p.machine.view_number();
+        let view = p.machine.view_version();
         if view == p.view {
             return;
         }
         p.view = view;
         let mut seen = Vec::new();
         for record in p.machine.records() {
-            let old = p.believed.insert(record.name.clone(), record.standing);
-            if old != Some(record.standing) {
+            let old = p.believed.insert(record.name.clone(), record.status);
+            if old != Some(record.status) {
                 let of = record.name.trim_start_matches('m').parse().unwrap_or(usize::MAX);
-                seen.push(Seen { at: now, by: n, of, standing: record.standing });
+                seen.push(Seen { at: now, by: n, of, status: record.status });
             }
         }
         self.seen.extend(seen);
@@ -424,7 +428,7 @@
 
     /// Bytes and datagrams sent by a process since its start.
     pub fn sent(&self, n: usize) -> (u64, u64) {
-        let f = self.machine(n).figures();
-        (f.bytes, f.datagrams)
+        let metrics = self.machine(n).metrics();
+        (metrics.bytes_sent, metrics.datagrams_sent)
     }
 }
--- a/crates/testbed/tests/members.rs
+++ b/crates/testbed/tests/members.rs
@@ -1,7 +1,7 @@
-//! Members over a modelled network in virtual time: pauses, lost messages, cuts of every kind, mass events. Seeds are
+//! Member over a modelled network in virtual time: pauses, lost messages, cuts of every kind, mass events. Seeds are
 //! fixed, and so is everything that happens.
 
-use postusher_membership::{Devices, Standing};
+use postusher_membership::{Mechanisms, MemberStatus};
 use postusher_testbed::virtual_net::{Links, Net, Seen};
 
 /// The probe interval.
@@ -13,14 +13,14 @@
 
 /// Removals of members that ran.
 fn wrong(net: &Net, right: &[usize]) -> Vec<Seen> {
-    let gone = |s: &&Seen| s.standing == Standing::Gone && !right.contains(&s.of);
+    let gone = |s: &&Seen| s.status == MemberStatus::Removed && !right.contains(&s.of);
     net.seen.iter().filter(gone).cloned().collect()
 }
 
 /// When the last of those that run knew that one is gone, in intervals from then.
 fn known_after(net: &Net, of: usize, from: f64, by: &[usize]) -> Option<f64> {
     let first =
-        |n: &usize| net.seen.iter().find(|s| s.by == *n && s.of == of && s.standing == Standing::Gone);
+        |n: &usize| net.seen.iter().find(|s| s.by == *n && s.of == of && s.status == MemberStatus::Removed);
     let all: Option<Vec<f64>> = by.iter().map(|n| first(n).map(|s| s.at)).collect();
     all.map(|all| (all.into_iter().fold(0.0, f64::max) - from) / INTERVAL)
 }
@@ -28,7 +28,7 @@
 #[test]
 fn a_cluster_comes_together_and_stays_so() {
     for n in [1, 2, 3, 10, 40] {
-        let mut net = Net::settled(n, 3, 1, Devices::default());
+        let mut net = Net::settled(n, 3, 1, Mechanisms::default());
         assert!(net.agree(), "{n} members");
         net.run(60_000.0);
         assert_eq!(net.seen, vec![], "{n} members");
@@ -40,7 +40,7 @@
 fn a_crash_is_known_everywhere_within_eight_intervals() {
     for (n, bound) in [(3, 8.0), (10, 8.0), (40, 9.0)] {
         for seed in 0..5 {
-            let mut net = Net::settled(n, 3, seed, Devices::default());
+            let mut net = Net::settled(n, 3, seed, Mechanisms::default());
             let at = net.now();
             net.kill(1);
             net.run(20_000.0);
@@ -54,7 +54,7 @@
 
 #[test]
 fn who_starts_again_is_back_under_a_higher_incarnation() {
-    let mut net = Net::settled(5, 3, 3, Devices::default());
+    let mut net = Net::settled(5, 3, 3, Mechanisms::default());
     let before = net.machine(0).record("m0002").unwrap().incarnation;
     // At once, while all believe in the process before it; and after it was found to be gone.
     for pause in [0.0, 20_000.0] {
@@ -65,16 +65,16 @@
         assert!(net.agree(), "after {pause}");
     }
     assert!(net.machine(0).record("m0002").unwrap().incarnation >= before + 2);
-    assert_eq!(net.machine(0).figures().false_removals, 0, "the one that was gone had ended");
+    assert_eq!(net.machine(0).metrics().false_removals, 0, "the one that was gone had ended");
 }
 
 #[test]
 fn who_leaves_says_so_and_nobody_accuses_it() {
-    let mut net = Net::settled(10, 3, 4, Devices::default());
+    let mut net = Net::settled(10, 3, 4, Mechanisms::default());
     net.leave(4);
     net.run(3_000.0);
     assert!(net.agree());
-    assert!(net.seen.iter().all(|s| s.standing == Standing::Left), "{:?}", net.seen);
+    assert!(net.seen.iter().all(|s| s.status == MemberStatus::Left), "{:?}", net.seen);
     net.start(4);
     net.run(5_000.0);
     assert!(net.agree(), "and may come back");
@@ -84,14 +84,14 @@
 fn a_pause_shorter_than_the_suspicion_changes_nothing_and_a_longer_one_only_its_own_standing() {
     for (pause, removed) in [(500.0, false), (4_500.0, false), (12_000.0, true), (30_000.0, true)] {
         for seed in 0..4 {
-            let mut net = Net::settled(8, 3, seed, Devices::default());
+            let mut net = Net::settled(8, 3, seed, Mechanisms::default());
             let before = net.machine(0).record("m0003").unwrap().incarnation;
             net.stop(3);
             net.run(pause);
             net.go_on(3);
             net.run(15_000.0);
             assert_eq!(wrong(&net, &[3]), vec![], "{pause} ms: a sleeper throws out nobody");
-            let gone = net.seen.iter().any(|s| s.of == 3 && s.standing == Standing::Gone);
+            let gone = net.seen.iter().any(|s| s.of == 3 && s.status == MemberStatus::Removed);
             assert_eq!(gone, removed, "{pause} ms, seed {seed}");
             assert!(net.agree(), "{pause} ms, seed {seed}");
             let after = net.machine(0).record("m0003").unwrap().incarnation;
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_machine_with_a_part_of_a_core_is_not_removed_and_removes_nobody() {
-    let mut net = Net::settled(8, 3, 5, Devices::default());
+    let mut net = Net::settled(8, 3, 5, Mechanisms::default());
     net.slow(2, 900.0);
     net.run(60_000.0);
     assert_eq!(net.seen, vec![]);
@@ -112,7 +112,7 @@
 fn loss_delay_doubling_and_reordering_remove_nobody() {
     let bad = Links { loss: 0.3, twice: 0.1, delay: (150.0, 450.0) };
     for (n, seed, minutes) in [(3, 1, 60.0), (5, 2, 40.0), (10, 3, 30.0), (30, 4, 5.0)] {
-        let mut net = Net::settled(n, 3, seed, Devices::default());
+        let mut net = Net::settled(n, 3, seed, Mechanisms::default());
         net.links(bad);
         net.run(minutes * 60_000.0);
         assert_eq!(wrong(&net, &[]), vec![], "{n} members");
@@ -128,7 +128,7 @@
 #[test]
 fn a_link_cut_one_way_or_both_between_two_changes_nothing() {
     for both in [false, true] {
-        let mut net = Net::settled(6, 3, 6, Devices::default());
+        let mut net = Net::settled(6, 3, 6, Mechanisms::default());
         net.cut(0, 1);
         if both {
             net.cut(1, 0);
@@ -140,7 +140,7 @@
 
 #[test]
 fn a_ring_in_which_each_lacks_one_other_changes_nothing() {
-    let mut net = Net::settled(6, 3, 7, Devices::default());
+    let mut net = Net::settled(6, 3, 7, Mechanisms::default());
     for i in 0..6 {
         net.cut(i, (i + 1) % 6);
         net.cut((i + 1) % 6, i);
@@ -152,7 +152,7 @@
 #[test]
 fn a_member_that_only_sends_or_only_hears_is_removed_and_removes_nobody() {
     for deaf in [true, false] {
-        let mut net = Net::settled(7, 3, 8, Devices::default());
+        let mut net = Net::settled(7, 3, 8, Mechanisms::default());
         let others: Vec<usize> = (1..7).collect();
         if deaf {
             net.cut_all(&others, &[0]);
@@ -172,7 +172,7 @@
 
 #[test]
 fn a_member_cut_off_from_one_zone_only_stays() {
-    let mut net = Net::settled(9, 3, 9, Devices::default());
+    let mut net = Net::settled(9, 3, 9, Mechanisms::default());
     net.cut_apart(&[0], &[1, 4, 7]);
     net.run(120_000.0);
     assert_eq!(net.seen, vec![]);
@@ -183,7 +183,7 @@
     let zone = [0, 3, 6];
     let rest = [1, 2, 4, 5, 7, 8];
     for (out, back) in [(true, true), (true, false), (false, true)] {
-        let mut net = Net::settled(9, 3, 10, Devices::default());
+        let mut net = Net::settled(9, 3, 10, Mechanisms::default());
         if out {
             net.cut_all(&zone, &rest);
         }
@@ -206,7 +206,7 @@
 
 #[test]
 fn of_two_halves_neither_removes_the_other_and_they_come_together_after_an_hour() {
-    let mut net = Net::settled(8, 2, 11, Devices::default());
+    let mut net = Net::settled(8, 2, 11, Mechanisms::default());
     let (a, b) = ([0, 2, 4, 6], [1, 3, 5, 7]);
     net.cut_apart(&a, &b);
     net.run(3_600_000.0);
@@ -219,19 +219,19 @@
 
 #[test]
 fn a_split_in_which_one_side_went_on_heals_after_an_hour() {
-    let mut net = Net::settled(9, 3, 12, Devices::default());
+    let mut net = Net::settled(9, 3, 12, Mechanisms::default());
     let (zone, rest) = ([0, 3, 6], [1, 2, 4, 5, 7, 8]);
     net.cut_apart(&zone, &rest);
     net.run(3_600_000.0);
     net.heal();
     net.run(90_000.0);
     assert!(net.agree());
-    assert!(net.machine(1).figures().false_removals >= 3, "known to have been wrong");
+    assert!(net.machine(1).metrics().false_removals >= 3, "known to have been wrong");
 }
 
 #[test]
 fn most_started_in_one_moment_come_together() {
-    let mut net = Net::new(60, 3, 13, Devices::default());
+    let mut net = Net::new(60, 3, 13, Mechanisms::default());
     (0..6).for_each(|n| net.start(n));
     net.run(10_000.0);
     (6..60).for_each(|n| net.start(n));
@@ -242,7 +242,7 @@
 
 #[test]
 fn seven_in_ten_killed_at_once_are_missed_by_the_rest_and_come_back() {
-    let mut net = Net::settled(20, 3, 14, Devices::default());
+    let mut net = Net::settled(20, 3, 14, Mechanisms::default());
     (0..14).for_each(|n| net.kill(n));
     net.run(60_000.0);
     assert!((14..20).all(|n| net.machine(n).is_minority()), "they cannot know that they were not cut off");
@@ -254,7 +254,7 @@
 
 #[test]
 fn a_rolling_restart_removes_nobody_that_runs() {
-    let mut net = Net::settled(20, 3, 15, Devices::default());
+    let mut net = Net::settled(20, 3, 15, Mechanisms::default());
     for tenth in 0..10 {
         let these = [2 * tenth, 2 * tenth + 1];
         these.iter().for_each(|n| net.leave(*n));
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_name_used_twice_ends_the_second_which_says_so() {
-    let mut net = Net::new(6, 3, 16, Devices::default());
+    let mut net = Net::new(6, 3, 16, Mechanisms::default());
     (0..5).for_each(|n| net.start(n));
     net.run(20_000.0);
     net.start_as(5, Some(2));
@@ -281,7 +281,7 @@
 
 #[test]
 fn of_two_under_one_name_that_began_on_two_sides_of_a_cut_one_ends_and_they_never_take_turns() {
-    let mut net = Net::new(7, 3, 17, Devices::default());
+    let mut net = Net::new(7, 3, 17, Mechanisms::default());
     (0..6).for_each(|n| net.start(n));
     net.run(20_000.0);
     net.cut_apart(&[0], &[1, 2, 3, 4, 5, 6]);
@@ -292,29 +292,28 @@
     net.heal();
     net.run(60_000.0);
     assert!(net.ended(0).is_some() != net.ended(6).is_some(), "{:?} {:?}", net.ended(0), net.ended(6));
-    let there: Vec<_> =
-        (1..6).map(|n| net.machine(n).record("m0000").map(|r| (r.addr, r.standing))).collect();
+    let there: Vec<_> = (1..6).map(|n| net.machine(n).record("m0000").map(|r| (r.addr, r.status))).collect();
     assert!(there.windows(2).all(|two| two[0] == two[1]), "{there:?}");
 }
 
 #[test]
 fn a_member_back_at_another_address_is_found_there() {
-    let mut net = Net::new(6, 3, 18, Devices::default());
+    let mut net = Net::new(6, 3, 18, Mechanisms::default());
     (0..5).for_each(|n| net.start(n));
     net.run(20_000.0);
     net.kill(2);
     net.start_as(5, Some(2));
     net.run(20_000.0);
     assert!(net.is_in(5) && net.ended(5).is_none(), "nobody answered under the old address");
-    let at = |n: usize| net.machine(n).record("m0002").map(|r| (r.addr, r.standing));
+    let at = |n: usize| net.machine(n).record("m0002").map(|r| (r.addr, r.status));
     assert!([0, 1, 3, 4]
         .iter()
-        .all(|n| at(*n) == Some((postusher_testbed::virtual_net::addr(5), Standing::Alive))));
+        .all(|n| at(*n) == Some((postusher_testbed::virtual_net::addr(5), MemberStatus::Alive))));
 }
 
 #[test]
 fn the_seeds_may_be_gone_for_good() {
-    let mut net = Net::settled(8, 3, 19, Devices::default());
+    let mut net = Net::settled(8, 3, 19, Mechanisms::default());
     net.kill(0);
     net.run(60_000.0);
     net.kill(1);
@@ -329,7 +328,7 @@
 #[test]
 fn the_same_seed_plays_the_same_to_the_byte() {
     let play = |seed| {
-        let mut net = Net::settled(12, 3, seed, Devices::default());
+        let mut net = Net::settled(12, 3, seed, Mechanisms::default());
         net.links(Links { loss: 0.2, twice: 0.1, delay: (10.0, 300.0) });
         net.kill(3);
         net.stop(4);
@@ -343,7 +342,7 @@
 #[test]
 fn messages_of_a_member_do_not_grow_with_their_number() {
     let rate = |n: usize| {
-        let mut net = Net::settled(n, 3, 21, Devices::default());
+        let mut net = Net::settled(n, 3, 21, Mechanisms::default());
         net.run(60_000.0); // the first exchanges are over
         let before: Vec<_> = (0..n).map(|i| net.sent(i)).collect();
         net.run(30_000.0);
@@ -360,40 +359,40 @@
 #[test]
 fn planted_mistakes_are_found() {
     let bad = Links { loss: 0.5, twice: 0.0, delay: (150.0, 450.0) };
-    let removals = |devices: Devices| {
-        let mut net = Net::settled(8, 3, 22, devices);
+    let removals = |mechanisms: Mechanisms| {
+        let mut net = Net::settled(8, 3, 22, mechanisms);
         net.links(bad);
         net.run(10.0 * 60_000.0);
         wrong(&net, &[]).len()
     };
-    assert_eq!(removals(Devices::default()), 0);
+    assert_eq!(removals(Mechanisms::default()), 0);
     assert!(
-        removals(Devices { quorum: false, refute: false, ..Devices::default() }) > 0,
+        removals(Mechanisms { quorum: false, refutation: false, ..Mechanisms::default() }) > 0,
         "one accuser is enough"
     );
 
-    let mut net = Net::settled(6, 3, 23, Devices { indirect: false, ..Devices::default() });
+    let mut net = Net::settled(6, 3, 23, Mechanisms { indirect_pings: false, ..Mechanisms::default() });
     net.cut(0, 1);
     net.cut(0, 2);
     net.cut(0, 3);
     net.run(60_000.0);
     assert!(!wrong(&net, &[]).is_empty(), "without indirect pings a member that lacks some links is removed");
 
-    let mut net = Net::settled(6, 3, 24, Devices { refute: false, ..Devices::default() });
+    let mut net = Net::settled(6, 3, 24, Mechanisms { refutation: false, ..Mechanisms::default() });
     net.stop(2);
     net.run(15_000.0);
     net.go_on(2);
     net.run(30_000.0);
     assert!(!net.agree(), "who does not refute never comes back");
 
-    let mut net = Net::settled(6, 3, 24, Devices { raise: false, ..Devices::default() });
+    let mut net = Net::settled(6, 3, 24, Mechanisms { raised_incarnation: false, ..Mechanisms::default() });
     net.stop(2);
     net.run(15_000.0);
     net.go_on(2);
     net.run(30_000.0);
     assert!(!net.agree(), "nor who does so under the old incarnation");
 
-    let mut net = Net::settled(9, 3, 25, Devices { majority: false, ..Devices::default() });
+    let mut net = Net::settled(9, 3, 25, Mechanisms { majority: false, ..Mechanisms::default() });
     let (zone, rest) = ([0, 3, 6], [1, 2, 4, 5, 7, 8]);
     net.cut_apart(&zone, &rest);
     net.run(60_000.0);
@@ -404,7 +403,8 @@
 #[test]
 fn a_sleeper_that_forgets_that_it_slept_believes_itself_alone() {
     let alone = |pauses: bool| {
-        let mut net = Net::settled(3, 3, 26, Devices { pauses, ..Devices::default() });
+        let mut net =
+            Net::settled(3, 3, 26, Mechanisms { pause_compensation: pauses, ..Mechanisms::default() });
         net.stop(0);
         net.run(20_000.0);
         net.go_on(0);
@@ -417,7 +417,7 @@
 
 #[test]
 fn two_versions_live_together_through_a_rolling_upgrade() {
-    let mut net = Net::settled(10, 3, 31, Devices::default());
+    let mut net = Net::settled(10, 3, 31, Mechanisms::default());
     for n in 0..10 {
         net.leave(n);
         net.run(1_500.0);
@@ -437,14 +437,14 @@
         }
     }
     assert_eq!(wrong(&net, &[2, 7]), vec![], "nobody is removed for its version");
-    assert!((0..10).all(|n| net.machine(n).figures().garbage == 0));
+    assert!((0..10).all(|n| net.machine(n).metrics().decode_errors == 0));
 }
 
 /// A process reads the day's clock once, at its start; from then on its time only moves forward. So a jump of the clock is a
 /// process that is an hour off when it starts again.
 #[test]
 fn clocks_that_are_hours_apart_make_no_difference() {
-    let mut net = Net::new(6, 3, 32, Devices::default());
+    let mut net = Net::new(6, 3, 32, Mechanisms::default());
     for n in 0..6 {
         net.clock_off(n, 3_600_000.0 * n as f64);
         net.start(n);
