--- /dev/null
+++ b/crates/membership/tests/model/main.rs
@@ -0,0 +1,211 @@
+//! Join, accuse, refute, remove and rejoin of three and four members, in every order in which messages can arrive or be
+//! lost, on the crate's own transition function ([`postusher_membership::MemberTable`]), checked by stateright.
+
+mod cluster;
+
+use cluster::{Cluster, ModelMember, ModelRecord, State, Step};
+use postusher_membership::{Instance, Mechanisms, MemberStatus};
+use stateright::{Checker, Model, Property};
+use std::collections::{BTreeMap, BTreeSet};
+
+const INCARNATIONS_RISE: &str = "incarnations only rise";
+const OWN_INCARNATION: &str = "nobody but itself raises an incarnation";
+const REFUTATION_HOLDS: &str = "a refuted suspicion removes nobody";
+const REMOVED_COMES_BACK: &str = "one that runs and was removed comes back";
+const REMOVAL_POSSIBLE: &str = "a member that runs can be removed at all";
+const RETURN_POSSIBLE: &str = "a member that was removed is believed in again";
+
+impl Model for Cluster {
+    type State = State;
+    type Action = Step;
+
+    fn init_states(&self) -> Vec<State> {
+        let instance = |member: usize| Instance { first_incarnation: 1, nonce: member as u64 };
+        let records: BTreeMap<usize, ModelRecord> =
+            (0..self.members).map(|member| (member, ModelRecord::alive(1, instance(member)))).collect();
+        let member = |member| ModelMember {
+            is_running: true,
+            incarnation: 1,
+            instance: instance(member),
+            records: records.clone(),
+            accusations: BTreeSet::new(),
+            sequence: 0,
+        };
+        vec![State {
+            members: (0..self.members).map(member).collect(),
+            network: BTreeSet::new(),
+            highest_incarnations: vec![vec![1; self.members]; self.members],
+            accusations: 0,
+            crashes: 0,
+            losses: 0,
+        }]
+    }
+
+    fn actions(&self, state: &State, actions: &mut Vec<Step>) {
+        for (to, message) in &state.network {
+            actions.push(Step::Deliver { to: *to, message: message.clone() });
+            if state.losses < self.max_losses {
+                actions.push(Step::Lose { to: *to, message: message.clone() });
+            }
+        }
+        // It makes no difference which one is accused.
+        let subject = self.members - 1;
+        for (accuser, member) in state.members.iter().enumerate() {
+            if !member.is_running {
+                actions.push(Step::Restart(accuser));
+                continue;
+            }
+            if state.crashes < self.max_crashes {
+                actions.push(Step::Crash(accuser));
+            }
+            if accuser == subject {
+                continue;
+            }
+            if member.accusations.iter().any(|known| known.is_of(accuser, subject) && known.stands) {
+                actions.push(Step::Withdraw { accuser, subject });
+            } else if member.believes_alive(subject) && state.accusations < self.max_accusations {
+                actions.push(Step::Accuse { accuser, subject });
+            }
+        }
+    }
+
+    fn next_state(&self, last: &State, action: Step) -> Option<State> {
+        let mut state = last.clone();
+        match action {
+            Step::Accuse { accuser, subject } => {
+                state.accusations += 1;
+                self.accuse(&mut state, accuser, subject, true);
+            }
+            Step::Withdraw { accuser, subject } => self.accuse(&mut state, accuser, subject, false),
+            Step::Deliver { to, message } => {
+                state.network.remove(&(to, message.clone()));
+                if state.members[to].is_running {
+                    self.deliver(&mut state, to, message);
+                }
+            }
+            Step::Lose { to, message } => {
+                state.losses += 1;
+                state.network.remove(&(to, message));
+            }
+            Step::Crash(member) => {
+                state.crashes += 1;
+                state.members[member].is_running = false;
+            }
+            Step::Restart(member) => self.restart(&mut state, member)?,
+        }
+        Some(state)
+    }
+
+    fn properties(&self) -> Vec<Property<Self>> {
+        vec![
+            Property::always(INCARNATIONS_RISE, |cluster: &Cluster, state: &State| {
+                state.members.iter().zip(&state.highest_incarnations).all(|(member, highest)| {
+                    let is_highest = |other: usize| member.believed_incarnation(other) == highest[other];
+                    !member.is_running || (0..cluster.members).all(is_highest)
+                })
+            }),
+            Property::always(OWN_INCARNATION, |_, state: &State| {
+                let own = |other: usize| state.members[other].incarnation;
+                let is_known = |(other, record): (&usize, &ModelRecord)| record.incarnation <= own(*other);
+                state.members.iter().all(|member| member.records.iter().all(is_known))
+            }),
+            Property::always(REFUTATION_HOLDS, |cluster: &Cluster, state: &State| {
+                // Whoever has heard of the present incarnation of one that runs believes in it until that is accused.
+                let has_removed = |observer: &ModelMember, member: usize| {
+                    observer.records.get(&member).is_some_and(|record| {
+                        record.status == MemberStatus::Removed
+                            && record.incarnation == state.members[member].incarnation
+                    })
+                };
+                let may_be_removed = |member: usize| {
+                    state.accusations >= 2 || state.crashes > 0 || !state.members[member].is_running
+                };
+                (0..cluster.members).all(|member| {
+                    may_be_removed(member)
+                        || state.members.iter().all(|observer| !has_removed(observer, member))
+                })
+            }),
+            Property::always(REMOVED_COMES_BACK, |cluster: &Cluster, state: &State| {
+                let is_settled = state.network.is_empty() && state.losses == 0 && state.crashes == 0;
+                let believes_all = |observer: &ModelMember| {
+                    (0..cluster.members).all(|member| observer.believes_alive(member))
+                };
+                !is_settled || state.members.iter().all(believes_all)
+            }),
+            Property::sometimes(REMOVAL_POSSIBLE, |_, state: &State| {
+                let is_removed = |record: &ModelRecord| record.status == MemberStatus::Removed;
+                let mut running = state.members.iter().filter(|member| member.is_running);
+                running.any(|member| member.records.values().any(is_removed))
+            }),
+            Property::sometimes(RETURN_POSSIBLE, |cluster: &Cluster, state: &State| {
+                (0..cluster.members).any(|member| {
+                    state.members[member].incarnation >= 3
+                        && state.members.iter().all(|observer| observer.records[&member].is_alive())
+                })
+            }),
+        ]
+    }
+}
+
+fn cluster(members: usize, max_accusations: u8) -> Cluster {
+    let mechanisms = Mechanisms::default();
+    Cluster { members, mechanisms, max_accusations, max_crashes: 0, max_losses: 0 }
+}
+
+#[test]
+fn three_members_keep_all_properties_when_a_message_is_lost() {
+    let lossy = Cluster { max_losses: 1, ..cluster(3, 2) };
+    let checked = lossy.checker().threads(4).spawn_bfs().join();
+    checked.assert_properties();
+    println!("losses: {} states", checked.unique_state_count());
+}
+
+/// Of four, two of three observers are needed. All 15 million states take a quarter of an hour: `make members-model`.
+fn four_members(mechanisms: Mechanisms) -> Cluster {
+    Cluster { mechanisms, ..cluster(4, 2) }
+}
+
+#[test]
+#[ignore = "a quarter of an hour"]
+fn four_members_keep_all_properties() {
+    let checked = four_members(Mechanisms::default()).checker().threads(4).spawn_bfs().join();
+    checked.assert_properties();
+    println!("four: {} states", checked.unique_state_count());
+}
+
+#[test]
+fn four_members_keep_all_properties_in_the_first_states() {
+    let check_first = |mechanisms| {
+        four_members(mechanisms).checker().threads(4).target_state_count(100_000).spawn_bfs().join()
+    };
+    let checked = check_first(Mechanisms::default());
+    for property in [INCARNATIONS_RISE, OWN_INCARNATION, REFUTATION_HOLDS, REMOVED_COMES_BACK] {
+        checked.assert_no_discovery(property);
+    }
+    assert!(checked.unique_state_count() >= 20_000);
+    // They go far enough to find a mistake.
+    let without_quorum = check_first(Mechanisms { quorum: false, ..Mechanisms::default() });
+    assert!(without_quorum.discovery(REFUTATION_HOLDS).is_some(), "one accuser removes");
+}
+
+#[test]
+fn incarnations_only_rise_through_a_crash_and_a_restart() {
+    let crashing = Cluster { max_crashes: 1, ..cluster(3, 1) };
+    let checked = crashing.checker().threads(4).spawn_bfs().join();
+    checked.assert_no_discovery(INCARNATIONS_RISE);
+    checked.assert_no_discovery(OWN_INCARNATION);
+    println!("crash: {} states", checked.unique_state_count());
+}
+
+#[test]
+fn missing_mechanisms_are_noticed() {
+    let without_raise = Mechanisms { raised_incarnation: false, ..Mechanisms::default() };
+    let without_refutation = Mechanisms { refutation: false, ..Mechanisms::default() };
+    for mechanisms in [without_raise, without_refutation] {
+        let checked = Cluster { mechanisms, ..cluster(3, 2) }.checker().threads(4).spawn_bfs().join();
+        assert!(checked.discovery(REMOVED_COMES_BACK).is_some(), "{mechanisms:?}");
+    }
+    let mechanisms = Mechanisms { quorum: false, ..Mechanisms::default() };
+    let checked = Cluster { mechanisms, ..cluster(3, 1) }.checker().threads(4).spawn_bfs().join();
+    assert!(checked.discovery(REFUTATION_HOLDS).is_some(), "one accuser removes");
+}
