--- a/crates/membership/tests/names.rs
+++ b/crates/membership/tests/names.rs
@@ -1,22 +1,34 @@
-//! Two processes under one name, after a split in which neither knew of the other: whatever order messages come in, and
-//! whichever of them is lost, one stays and the other says so and ends. The whole state machine, checked by stateright.
+//! Two processes under one name, after a partition in which neither knew of the other: whatever order messages arrive in,
+//! and whichever of them is lost, one stays and the other terminates. The whole state machine, checked by stateright.
 
 use postusher_membership::{Action, Config, Member};
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
 use std::net::SocketAddr;
 
-/// A quarter of a probe interval: members are woken so often.
-const TICK: f64 = 250.0;
+/// A quarter of a probe interval: the timers run so often.
+const TICK_MS: f64 = 250.0;
 /// Four probe intervals: each has pinged the others by then, and been told of what they believe.
-const TICKS: u32 = 16;
-/// Time goes on so often while a message is under way; one at most.
-const LATE: u8 = 3;
+const MAX_TICKS: u32 = 16;
+/// The most ticks while a message is under way; one at most.
+const MAX_LATE_TICKS: u8 = 3;
+const MEMBERS: usize = 3;
 const WITNESS: usize = 0;
-const TWINS: [usize; 2] = [1, 2];
+const CLAIMANTS: [usize; 2] = [1, 2];
+/// The names of the witness and of the two claimants.
+const NAMES: [&str; MEMBERS] = ["w", "a", "a"];
 
-fn addr(n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, 1], 7001 + n as u16))
+const ONE_STAYS: &str = "they never both terminate";
+const SURVIVOR_BELIEVED: &str = "one terminates, and the one that stays is believed in";
+const FIRST_TERMINATES: &str = "the one that began there terminates";
+const SECOND_TERMINATES: &str = "the one that came terminates";
+
+fn addr(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7001 + member as u16))
+}
+
+fn member_at(addr_wanted: SocketAddr) -> usize {
+    (0..MEMBERS).find(|member| addr(*member) == addr_wanted).unwrap()
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -26,26 +38,26 @@
         to: usize,
         bytes: Vec<u8>,
     },
-    /// A whole state, and whether one is wanted in return.
-    Whole {
+    /// A complete state, and whether one is wanted in return.
+    State {
         from: usize,
         to: usize,
         bytes: Vec<u8>,
-        answer: bool,
+        wants_answer: bool,
     },
 }
 
 #[derive(Clone, Debug)]
 struct State {
     members: Vec<Member>,
-    ended: Vec<bool>,
-    net: Vec<Message>,
+    terminated: Vec<bool>,
+    network: Vec<Message>,
     ticks: u32,
     losses: u8,
-    late: u8,
+    late_ticks: u8,
 }
 
-/// All of a state that can make a difference, as text: a member shows everything that it remembers.
+/// Compared as text, as a member's debug form shows everything that it remembers.
 impl State {
     fn text(&self) -> String {
         format!("{self:?}")
@@ -68,108 +80,131 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// All are woken.
+    /// All timers run.
     Tick,
     Deliver(usize),
     Lose(usize),
 }
 
-struct Twins {
+struct Cluster {
     seed: u64,
-    late: u8,
-    losses: u8,
+    max_late_ticks: u8,
+    max_losses: u8,
 }
 
 impl State {
     fn now(&self) -> f64 {
-        f64::from(self.ticks) * TICK
+        f64::from(self.ticks) * TICK_MS
     }
 
-    fn carry_out(&mut self, n: usize, out: Vec<Action>) {
-        let number = |to: SocketAddr| (0..3).find(|n| addr(*n) == to);
-        for action in out {
+    fn carry_out(&mut self, from: usize, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::SendDatagram { to, bytes } => {
-                    let to = number(to).unwrap();
-                    self.net.push(Message::Datagram { from: n, to, bytes });
+                    self.network.push(Message::Datagram { from, to: member_at(to), bytes });
                 }
                 Action::ExchangeState { with } => {
-                    let (to, bytes) = (number(with).unwrap(), self.members[n].encode_state());
-                    self.net.push(Message::Whole { from: n, to, bytes, answer: true });
+                    let to = member_at(with);
+                    let bytes = self.members[from].encode_state();
+                    self.network.push(Message::State { from, to, bytes, wants_answer: true });
                 }
-                Action::Terminate { .. } => self.ended[n] = true,
+                Action::Terminate { .. } => self.terminated[from] = true,
+            }
+        }
+        self.network.sort();
+    }
+
+    fn tick(&mut self) {
+        self.ticks += 1;
+        self.late_ticks += u8::from(!self.network.is_empty());
+        let now = self.now();
+        for member in 0..MEMBERS {
+            let mut actions = Vec::new();
+            if !self.terminated[member] {
+                self.members[member].advance(now, &mut actions);
             }
+            self.carry_out(member, actions);
         }
-        self.net.sort();
     }
 
     fn deliver(&mut self, message: Message) {
-        let (now, mut out) = (self.now(), Vec::new());
+        let now = self.now();
+        let mut actions = Vec::new();
         let to = match &message {
-            Message::Datagram { to, .. } | Message::Whole { to, .. } => *to,
+            Message::Datagram { to, .. } | Message::State { to, .. } => *to,
         };
-        if self.ended[to] {
+        if self.terminated[to] {
             return;
         }
         match message {
             Message::Datagram { from, bytes, .. } => {
-                self.members[to].receive_datagram(addr(from), &bytes, now, &mut out)
+                self.members[to].receive_datagram(addr(from), &bytes, now, &mut actions);
             }
-            Message::Whole { from, bytes, answer, .. } => {
-                if answer {
-                    let bytes = self.members[to].encode_state();
-                    self.net.push(Message::Whole { from: to, to: from, bytes, answer: false });
+            Message::State { from, bytes, wants_answer, .. } => {
+                if wants_answer {
+                    let answer = self.members[to].encode_state();
+                    let answer = Message::State { from: to, to: from, bytes: answer, wants_answer: false };
+                    self.network.push(answer);
                 }
-                self.members[to].merge_state(&bytes, now, &mut out);
+                self.members[to].merge_state(&bytes, now, &mut actions);
             }
         }
-        self.carry_out(to, out);
+        self.carry_out(to, actions);
     }
 
-    fn stay(&self) -> usize {
-        TWINS.iter().filter(|n| !self.ended[**n]).count()
+    fn running_claimants(&self) -> usize {
+        CLAIMANTS.iter().filter(|claimant| !self.terminated[**claimant]).count()
     }
 }
 
-impl Model for Twins {
+impl Model for Cluster {
     type State = State;
     type Action = Step;
 
-    /// The witness knows the first twin; the second began alone, and the split has just healed.
+    /// The witness knows the first claimant; the second began alone, and the partition has just healed.
     fn init_states(&self) -> Vec<State> {
-        let names = ["w", "a", "a"];
-        let config = |n: usize| Config::new("names", names[n], "z", addr(n));
-        let mut members: Vec<Member> =
-            (0..3).map(|n| Member::new(config(n), self.seed * 3 + n as u64, 0.0)).collect();
-        let mut out = Vec::new();
-        members.iter_mut().for_each(|m| m.advance(0.0, &mut out));
-        for n in TWINS {
-            let whole = members[n].encode_state();
-            members[WITNESS].merge_state(&whole, 0.0, &mut out);
-            let whole = members[WITNESS].encode_state();
-            members[n].merge_state(&whole, 0.0, &mut out);
+        let member = |n: usize| {
+            let config = Config::new("names", NAMES[n], "z", addr(n));
+            Member::new(config, self.seed * MEMBERS as u64 + n as u64, 0.0)
+        };
+        let mut members: Vec<Member> = (0..MEMBERS).map(member).collect();
+        let mut actions = Vec::new();
+        for member in &mut members {
+            member.advance(0.0, &mut actions);
+        }
+        for claimant in CLAIMANTS {
+            let state = members[claimant].encode_state();
+            members[WITNESS].merge_state(&state, 0.0, &mut actions);
+            let state = members[WITNESS].encode_state();
+            members[claimant].merge_state(&state, 0.0, &mut actions);
         }
-        assert!(members.iter().all(Member::has_joined), "both twins are members that are content");
-        let mut state =
-            State { members, ended: vec![false; 3], net: Vec::new(), ticks: 0, losses: 0, late: 0 };
-        // A twin that hears of the other at once has asked there already.
-        for action in out {
+        assert!(members.iter().all(Member::has_joined), "both claimants have joined");
+        let mut state = State {
+            members,
+            terminated: vec![false; MEMBERS],
+            network: Vec::new(),
+            ticks: 0,
+            losses: 0,
+            late_ticks: 0,
+        };
+        // A claimant that hears of the other at once has sent its claim there already.
+        for action in actions {
             let Action::SendDatagram { to, .. } = &action else { continue };
-            let other = TWINS.into_iter().find(|n| addr(*n) != *to).unwrap();
-            state.carry_out(other, vec![action]);
+            let sender = CLAIMANTS.into_iter().find(|claimant| addr(*claimant) != *to).unwrap();
+            state.carry_out(sender, vec![action]);
         }
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Step>) {
-        let may_be_late = state.net.len() == 1 && state.late < self.late;
-        if (state.net.is_empty() || may_be_late) && state.ticks < TICKS {
+        let may_be_late = state.network.len() == 1 && state.late_ticks < self.max_late_ticks;
+        if (state.network.is_empty() || may_be_late) && state.ticks < MAX_TICKS {
             actions.push(Step::Tick);
         }
-        for n in 0..state.net.len() {
-            actions.push(Step::Deliver(n));
-            if state.losses < self.losses {
-                actions.push(Step::Lose(n));
+        for message in 0..state.network.len() {
+            actions.push(Step::Deliver(message));
+            if state.losses < self.max_losses {
+                actions.push(Step::Lose(message));
             }
         }
     }
@@ -177,25 +212,14 @@
     fn next_state(&self, last: &State, action: Step) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Step::Tick => {
-                state.ticks += 1;
-                state.late += u8::from(!state.net.is_empty());
-                for n in 0..3 {
-                    let mut out = Vec::new();
-                    if !state.ended[n] {
-                        let now = state.now();
-                        state.members[n].advance(now, &mut out);
-                    }
-                    state.carry_out(n, out);
-                }
-            }
-            Step::Deliver(n) => {
-                let message = state.net.remove(n);
+            Step::Tick => state.tick(),
+            Step::Deliver(message) => {
+                let message = state.network.remove(message);
                 state.deliver(message);
             }
-            Step::Lose(n) => {
+            Step::Lose(message) => {
                 state.losses += 1;
-                state.net.remove(n);
+                state.network.remove(message);
             }
         }
         Some(state)
@@ -203,33 +227,40 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("they never both end", |_, s: &State| s.stay() > 0 && !s.ended[WITNESS]),
-            Property::always("one ends, and who stays is believed in", |_, s: &State| {
-                let believed = s.members[WITNESS].record("a").map(|r| r.addr);
-                let over = s.ticks == TICKS && s.net.is_empty();
-                let stays = TWINS.into_iter().find(|n| !s.ended[*n]);
-                !over || s.stay() == 1 && believed == stays.map(addr)
+            Property::always(ONE_STAYS, |_, state: &State| {
+                state.running_claimants() > 0 && !state.terminated[WITNESS]
+            }),
+            Property::always(SURVIVOR_BELIEVED, |_, state: &State| {
+                let is_over = state.ticks == MAX_TICKS && state.network.is_empty();
+                let believed = state.members[WITNESS].record("a").map(|record| record.addr);
+                let survivor = CLAIMANTS.into_iter().find(|claimant| !state.terminated[*claimant]);
+                !is_over || state.running_claimants() == 1 && believed == survivor.map(addr)
             }),
-            Property::sometimes("the one that began there ends", |_, s: &State| s.ended[TWINS[0]]),
-            Property::sometimes("the one that came ends", |_, s: &State| s.ended[TWINS[1]]),
+            Property::sometimes(FIRST_TERMINATES, |_, state: &State| state.terminated[CLAIMANTS[0]]),
+            Property::sometimes(SECOND_TERMINATES, |_, state: &State| state.terminated[CLAIMANTS[1]]),
         ]
     }
 }
 
 #[test]
-fn of_two_under_one_name_one_stays_in_every_order() {
-    let mut ended = [0; 2];
+fn one_of_two_processes_under_one_name_stays_in_every_order_of_messages() {
+    let mut first_terminated = 0;
+    let mut second_terminated = 0;
     for seed in 0..6 {
         // Either a message is lost or some are late.
-        for (losses, late) in [(1, 0), (0, LATE)] {
-            let checked = Twins { seed, late, losses }.checker().threads(4).spawn_bfs().join();
-            checked.assert_no_discovery("they never both end");
-            checked.assert_no_discovery("one ends, and who stays is believed in");
-            for (n, which) in ["the one that began there ends", "the one that came ends"].iter().enumerate() {
-                ended[n] += usize::from(checked.discovery(which).is_some());
-            }
-            println!("seed {seed}, {losses} lost, {late} late: {} states", checked.unique_state_count());
+        for (max_losses, max_late_ticks) in [(1, 0), (0, MAX_LATE_TICKS)] {
+            let cluster = Cluster { seed, max_late_ticks, max_losses };
+            let checked = cluster.checker().threads(4).spawn_bfs().join();
+            checked.assert_no_discovery(ONE_STAYS);
+            checked.assert_no_discovery(SURVIVOR_BELIEVED);
+            first_terminated += usize::from(checked.discovery(FIRST_TERMINATES).is_some());
+            second_terminated += usize::from(checked.discovery(SECOND_TERMINATES).is_some());
+            let states = checked.unique_state_count();
+            println!("seed {seed}, {max_losses} lost, {max_late_ticks} late: {states} states");
         }
     }
-    assert!(ended[0] > 0 && ended[1] > 0, "who stays is decided by chance, not by place: {ended:?}");
+    assert!(
+        first_terminated > 0 && second_terminated > 0,
+        "who stays is decided by chance, not by place: {first_terminated} {second_terminated}"
+    );
 }
--- a/crates/membership/tests/steps.rs
+++ b/crates/membership/tests/steps.rs
@@ -1,134 +1,196 @@
-//! Random steps: whatever comes in whatever order, what must hold of a member holds.
+//! Random steps: whatever arrives in whatever order, the invariants of a member hold.
 
 use postusher_membership::{Action, Config, Member, MemberStatus, MAX_DATAGRAM_BYTES};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-const N: usize = 3;
+const MEMBERS: usize = 3;
+/// The most messages under way; older ones are dropped.
+const MAX_MESSAGES: usize = 64;
+
+#[derive(Clone, Debug)]
+struct ChangedByte {
+    position: usize,
+    value: u8,
+}
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// One is woken, after so many milliseconds.
-    Wake(usize, f64),
-    /// A message under way comes, perhaps once more later, perhaps with a byte changed.
+    /// A member's timer runs after so many milliseconds.
+    Advance {
+        member: usize,
+        by: f64,
+    },
+    /// A message under way arrives, perhaps once more later, perhaps with a byte changed.
     Deliver {
-        nth: usize,
+        message: usize,
         keep: bool,
-        spoilt: Option<(usize, u8)>,
+        change: Option<ChangedByte>,
+    },
+    Lose {
+        message: usize,
+    },
+    /// Bytes arrive that nobody has sent.
+    Noise {
+        member: usize,
+        bytes: Vec<u8>,
+    },
+    Leave {
+        member: usize,
+    },
+    Restart {
+        member: usize,
     },
-    Lose(usize),
-    /// Something that nobody has sent.
-    Noise(usize, Vec<u8>),
-    Leave(usize),
-    Restart(usize),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let spoilt = prop::option::weighted(0.2, (0usize..300, any::<u8>()));
+    let change = (0usize..300, any::<u8>()).prop_map(|(position, value)| ChangedByte { position, value });
+    let change = prop::option::weighted(0.2, change);
+    let by = prop_oneof![Just(250.0), 0.0..3_000.0f64, Just(30_000.0)];
     let step = prop_oneof![
-        6 => (0..N, prop_oneof![Just(250.0), 0.0..3_000.0f64, Just(30_000.0)]).prop_map(|(n, by)| Step::Wake(n, by)),
-        12 => (0usize..64, prop::bool::weighted(0.1), spoilt)
-            .prop_map(|(nth, keep, spoilt)| Step::Deliver { nth, keep, spoilt }),
-        2 => (0usize..64).prop_map(Step::Lose),
-        1 => (0..N, prop::collection::vec(any::<u8>(), 0..80)).prop_map(|(n, bytes)| Step::Noise(n, bytes)),
-        1 => (0..N).prop_map(Step::Leave),
-        1 => (0..N).prop_map(Step::Restart),
+        6 => (0..MEMBERS, by).prop_map(|(member, by)| Step::Advance { member, by }),
+        12 => (0usize..64, prop::bool::weighted(0.1), change)
+            .prop_map(|(message, keep, change)| Step::Deliver { message, keep, change }),
+        2 => (0usize..64).prop_map(|message| Step::Lose { message }),
+        1 => (0..MEMBERS, prop::collection::vec(any::<u8>(), 0..80))
+            .prop_map(|(member, bytes)| Step::Noise { member, bytes }),
+        1 => (0..MEMBERS).prop_map(|member| Step::Leave { member }),
+        1 => (0..MEMBERS).prop_map(|member| Step::Restart { member }),
     ];
     prop::collection::vec(step, 1..250)
 }
 
-fn addr(n: usize) -> SocketAddr {
-    SocketAddr::from(([127, 0, 0, n as u8 + 1], 7946))
+fn addr(member: usize) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, member as u8 + 1], 7946))
 }
 
-enum Way {
+fn member_at(addr_wanted: SocketAddr) -> Option<usize> {
+    (0..MEMBERS).find(|member| addr(*member) == addr_wanted)
+}
+
+fn start(member: usize, seed: u64, now: f64) -> Member {
+    let config = Config::new("c", &format!("m{member}"), "z", addr(member));
+    Member::new(Config { seeds: vec![addr(0), addr(1)], ..config }, seed, now)
+}
+
+#[derive(Clone, Copy)]
+enum Kind {
     Datagram,
-    /// The first of an exchange is answered.
-    Whole(bool),
+    State,
+    /// A state that is answered with another.
+    FirstState,
+}
+
+#[derive(Clone)]
+struct Message {
+    from: usize,
+    to: usize,
+    kind: Kind,
+    bytes: Vec<u8>,
 }
 
-struct World {
+struct Cluster {
     now: f64,
     members: Vec<Member>,
-    net: Vec<(usize, usize, Way, Vec<u8>)>,
-    ended: Vec<bool>,
+    network: Vec<Message>,
+    terminated: Vec<bool>,
 }
 
-fn fresh(n: usize, seed: u64, now: f64) -> Member {
-    let config = Config::new("c", &format!("m{n}"), "z", addr(n));
-    Member::new(Config { seeds: vec![addr(0), addr(1)], ..config }, seed, now)
-}
+impl Cluster {
+    fn new() -> Cluster {
+        Cluster {
+            now: 0.0,
+            members: (0..MEMBERS).map(|member| start(member, member as u64, 0.0)).collect(),
+            network: Vec::new(),
+            terminated: vec![false; MEMBERS],
+        }
+    }
 
-impl World {
-    fn carry_out(&mut self, from: usize, out: Vec<Action>) {
-        for action in out {
+    fn carry_out(&mut self, from: usize, actions: Vec<Action>) {
+        for action in actions {
             match action {
                 Action::SendDatagram { to, bytes } => {
                     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-                    let to = (0..N).find(|n| addr(*n) == to);
-                    to.into_iter().for_each(|to| self.net.push((from, to, Way::Datagram, bytes.clone())));
+                    self.send(from, to, Kind::Datagram, bytes);
                 }
                 Action::ExchangeState { with } => {
                     let bytes = self.members[from].encode_state();
-                    let to = (0..N).find(|n| addr(*n) == with);
-                    to.into_iter().for_each(|to| self.net.push((from, to, Way::Whole(true), bytes.clone())));
+                    self.send(from, with, Kind::FirstState, bytes);
                 }
-                Action::Terminate { .. } => self.ended[from] = true,
+                Action::Terminate { .. } => self.terminated[from] = true,
+            }
+        }
+        let surplus = self.network.len().saturating_sub(MAX_MESSAGES);
+        self.network.drain(..surplus);
+    }
+
+    fn send(&mut self, from: usize, to: SocketAddr, kind: Kind, bytes: Vec<u8>) {
+        if let Some(to) = member_at(to) {
+            self.network.push(Message { from, to, kind, bytes });
+        }
+    }
+
+    fn take_message(&mut self, number: usize) -> Option<Message> {
+        if self.network.is_empty() {
+            return None;
+        }
+        Some(self.network.remove(number % self.network.len()))
+    }
+
+    fn deliver(&mut self, message: Message) {
+        let Message { from, to, kind, bytes } = message;
+        let mut actions = Vec::new();
+        match kind {
+            Kind::Datagram => {
+                self.members[to].receive_datagram(addr(from), &bytes, self.now, &mut actions);
+            }
+            Kind::State => self.members[to].merge_state(&bytes, self.now, &mut actions),
+            Kind::FirstState => {
+                let answer = self.members[to].encode_state();
+                self.send(to, addr(from), Kind::State, answer);
+                self.members[to].merge_state(&bytes, self.now, &mut actions);
             }
         }
-        let surplus = self.net.len().saturating_sub(64);
-        self.net.drain(..surplus);
+        self.carry_out(to, actions);
     }
 
-    fn play(&mut self, step: Step) {
-        let mut out = Vec::new();
+    fn run(&mut self, step: Step) {
+        let mut actions = Vec::new();
         match step {
-            Step::Wake(n, by) => {
+            Step::Advance { member, by } => {
                 self.now += by;
-                self.members[n].advance(self.now, &mut out);
-                let next = self.members[n].next_timer();
-                assert!(next.is_none_or(|at| at > self.now), "it would be woken for ever");
-                self.carry_out(n, out);
+                self.members[member].advance(self.now, &mut actions);
+                let next = self.members[member].next_timer();
+                assert!(next.is_none_or(|due| due > self.now), "its timer would run for ever");
+                self.carry_out(member, actions);
             }
-            Step::Deliver { nth, keep, spoilt } if !self.net.is_empty() => {
-                let at = nth % self.net.len();
-                let (from, to, way, mut bytes) = self.net.remove(at);
+            Step::Deliver { message, keep, change } => {
+                let Some(mut message) = self.take_message(message) else { return };
                 if keep {
-                    let again = if let Way::Whole(asks) = way { Way::Whole(asks) } else { Way::Datagram };
-                    self.net.push((from, to, again, bytes.clone()));
+                    self.network.push(message.clone());
                 }
-                if let Some((place, byte)) = spoilt {
-                    let place = place % bytes.len();
-                    bytes[place] = byte;
+                if let Some(change) = change {
+                    let position = change.position % message.bytes.len();
+                    message.bytes[position] = change.value;
                 }
-                match way {
-                    Way::Datagram => {
-                        self.members[to].receive_datagram(addr(from), &bytes, self.now, &mut out)
-                    }
-                    Way::Whole(asks) => {
-                        if asks {
-                            let mine = self.members[to].encode_state();
-                            self.net.push((to, from, Way::Whole(false), mine));
-                        }
-                        self.members[to].merge_state(&bytes, self.now, &mut out);
-                    }
-                }
-                self.carry_out(to, out);
+                self.deliver(message);
+            }
+            Step::Lose { message } => {
+                self.take_message(message);
             }
-            Step::Lose(nth) if !self.net.is_empty() => drop(self.net.remove(nth % self.net.len())),
-            Step::Deliver { .. } | Step::Lose(_) => {}
-            Step::Noise(n, bytes) => {
-                self.members[n].receive_datagram(addr(N), &bytes, self.now, &mut out);
-                self.members[n].merge_state(&bytes, self.now, &mut out);
-                self.carry_out(n, out);
+            Step::Noise { member, bytes } => {
+                self.members[member].receive_datagram(addr(MEMBERS), &bytes, self.now, &mut actions);
+                self.members[member].merge_state(&bytes, self.now, &mut actions);
+                self.carry_out(member, actions);
             }
-            Step::Leave(n) => {
-                self.members[n].leave(self.now, &mut out);
-                self.carry_out(n, out);
+            Step::Leave { member } => {
+                self.members[member].leave(self.now, &mut actions);
+                self.carry_out(member, actions);
             }
-            Step::Restart(n) => {
-                self.members[n] = fresh(n, 100 + self.now as u64 + n as u64, self.now);
-                self.ended[n] = false;
+            Step::Restart { member } => {
+                let seed = 100 + self.now as u64 + member as u64;
+                self.members[member] = start(member, seed, self.now);
+                self.terminated[member] = false;
             }
         }
     }
@@ -138,25 +200,29 @@
     #![proptest_config(ProptestConfig { cases: 300, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_member_believes_in_itself_and_never_goes_back(steps in steps()) {
-        let members = (0..N).map(|n| fresh(n, n as u64, 0.0)).collect();
-        let mut world = World { now: 0.0, members, net: Vec::new(), ended: vec![false; N] };
-        let mut high = [0u64; N];
+    fn a_member_believes_in_itself_and_its_incarnation_never_falls(steps in steps()) {
+        let mut cluster = Cluster::new();
+        let mut highest_incarnations = [0u64; MEMBERS];
         for step in steps {
-            if let Step::Restart(n) = step {
-                high[n] = 0; // another process
+            if let Step::Restart { member } = step {
+                highest_incarnations[member] = 0; // another process
             }
-            world.play(step);
-            for (n, m) in world.members.iter().enumerate() {
-                let mine = m.record(&format!("m{n}"));
-                if m.has_joined() {
-                    prop_assert!(mine.is_some_and(|r| r.status == MemberStatus::Alive && r.incarnation >= high[n]));
-                    high[n] = mine.map_or(0, |r| r.incarnation);
-                    prop_assert!(!world.ended[n], "it has ended");
+            cluster.run(step);
+            for (number, member) in cluster.members.iter().enumerate() {
+                if member.has_joined() {
+                    let own = member.record(&format!("m{number}"));
+                    prop_assert!(own.is_some_and(|own| own.status == MemberStatus::Alive));
+                    let incarnation = own.map_or(0, |own| own.incarnation);
+                    prop_assert!(incarnation >= highest_incarnations[number]);
+                    highest_incarnations[number] = incarnation;
+                    prop_assert!(!cluster.terminated[number], "it has ended");
                 }
-                let view = m.view();
+                let view = member.view();
                 prop_assert!(view.members.windows(2).all(|two| two[0].record.name < two[1].record.name));
-                prop_assert!(m.has_joined() || view.is_minority, "who has not joined, or has left, speaks for nobody");
+                prop_assert!(
+                    member.has_joined() || view.is_minority,
+                    "who has not joined, or has left, speaks for nobody"
+                );
             }
         }
     }
