--- a/crates/deferred-jobs/benches/queue.rs
+++ b/crates/deferred-jobs/benches/queue.rs
@@ -1,77 +1,101 @@
-//! How the cost of adding, cancelling and releasing a job grows with the number of jobs that are held.
+//! How the cost of adding, cancelling and releasing a job grows with the number of deferred jobs.
 
-use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
+use criterion::measurement::WallTime;
+use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkGroup, BenchmarkId, Criterion};
 use postusher_deferred_jobs::{
     DeferralQueue, DeferredJob, Dependency, FreeCapacity, JobEndStatus, JobId, Limits, StartConditions,
 };
 use std::hint::black_box;
 
 const ALL: FreeCapacity = FreeCapacity { free: 1_000_000, total: 1_000_000, largest_free: 1_000 };
+const DEADLINE_MS: f64 = 1e9;
+const SIZES: [u32; 3] = [1_000, 10_000, 100_000];
+/// The job that a third of all wait for.
+const HUB: &str = "hub";
+
+fn after(trace_id: &str) -> StartConditions {
+    StartConditions { dependencies: vec![Dependency::served(trace_id)], not_before: None }
+}
+
+fn at(start: f64) -> StartConditions {
+    StartConditions { dependencies: Vec::new(), not_before: Some(start) }
+}
+
+fn defer(queue: &mut DeferralQueue, id: u32, trace_id: &str, conditions: StartConditions) {
+    queue.defer(DeferredJob::new(JobId(id), trace_id, DEADLINE_MS, conditions), 0.0).unwrap();
+}
 
 /// A queue with so many jobs: a third wait for a time, a third for one common job, a third each for one of their own.
-fn full(n: u32) -> DeferralQueue {
-    let mut queue = DeferralQueue::new(Limits {
-        max_jobs: usize::MAX,
-        max_jobs_per_client: usize::MAX,
-        ..Limits::default()
-    });
-    queue.record_start("hub");
-    for id in 0..n {
-        let (name, own) = (format!("job-{id:08x}"), format!("own-{id:08x}"));
+fn filled_queue(jobs: u32) -> DeferralQueue {
+    let limits = Limits { max_jobs: usize::MAX, max_jobs_per_client: usize::MAX, ..Limits::default() };
+    let mut queue = DeferralQueue::new(limits);
+    queue.record_start(HUB);
+    for id in 0..jobs {
         let conditions = match id % 3 {
-            0 => StartConditions { dependencies: Vec::new(), not_before: Some(1e6 + f64::from(id % 977)) },
-            1 => StartConditions { dependencies: vec![Dependency::served("hub")], not_before: None },
+            0 => at(1e6 + f64::from(id % 977)),
+            1 => after(HUB),
             _ => {
-                queue.record_start(&own);
-                StartConditions { dependencies: vec![Dependency::served(&own)], not_before: None }
+                let dependency = format!("own-{id:08x}");
+                queue.record_start(&dependency);
+                after(&dependency)
             }
         };
-        queue.defer(DeferredJob::new(JobId(id), &name, 1e9, conditions), 0.0).unwrap();
+        defer(&mut queue, id, &format!("job-{id:08x}"), conditions);
     }
     queue
 }
 
-fn sizes(c: &mut Criterion) {
-    for n in [1_000u32, 10_000, 100_000] {
-        let mut group = c.benchmark_group("queue");
-        let mut queue = full(n);
-        let mut id = n;
-        group.bench_function(BenchmarkId::new("add and cancel", n), |b| {
-            b.iter(|| {
-                id = id.wrapping_add(1).max(n);
-                let conditions =
-                    StartConditions { dependencies: vec![Dependency::served("hub")], not_before: Some(2e6) };
-                queue.defer(DeferredJob::new(JobId(id), "new", 1e9, conditions), 0.0).unwrap();
-                queue.record_end("new", JobEndStatus::Disconnected, 0.0);
-            })
-        });
-        group.bench_function(BenchmarkId::new("ready and release", n), |b| {
-            b.iter(|| {
-                id = id.wrapping_add(1).max(n);
-                queue.record_start("first");
-                let conditions =
-                    StartConditions { dependencies: vec![Dependency::served("first")], not_before: None };
-                queue.defer(DeferredJob::new(JobId(id), "second", 1e9, conditions), 0.0).unwrap();
-                queue.record_end("first", JobEndStatus::Served, 0.0);
-                queue.release(ALL, 0.0);
-                black_box(queue.take_decisions());
-                queue.record_end("second", JobEndStatus::Served, 0.0);
-            })
-        });
-        group.sample_size(10);
-        group.bench_function(BenchmarkId::new("one job frees a third", n), |b| {
-            b.iter_batched(
-                || full(n),
-                |mut queue| {
-                    queue.record_end("hub", JobEndStatus::Served, 0.0);
-                    queue
-                },
-                BatchSize::PerIteration,
-            )
-        });
+fn add_and_cancel(group: &mut BenchmarkGroup<WallTime>, jobs: u32) {
+    let mut queue = filled_queue(jobs);
+    let mut id = jobs;
+    group.bench_function(BenchmarkId::new("add and cancel", jobs), |bencher| {
+        bencher.iter(|| {
+            id = id.wrapping_add(1).max(jobs);
+            defer(&mut queue, id, "new", StartConditions { not_before: Some(2e6), ..after(HUB) });
+            queue.record_end("new", JobEndStatus::Disconnected, 0.0);
+        })
+    });
+}
+
+fn ready_and_release(group: &mut BenchmarkGroup<WallTime>, jobs: u32) {
+    let mut queue = filled_queue(jobs);
+    let mut id = jobs;
+    group.bench_function(BenchmarkId::new("ready and release", jobs), |bencher| {
+        bencher.iter(|| {
+            id = id.wrapping_add(1).max(jobs);
+            queue.record_start("first");
+            defer(&mut queue, id, "second", after("first"));
+            queue.record_end("first", JobEndStatus::Served, 0.0);
+            queue.release(ALL, 0.0);
+            black_box(queue.take_decisions());
+            queue.record_end("second", JobEndStatus::Served, 0.0);
+        })
+    });
+}
+
+fn free_a_third(group: &mut BenchmarkGroup<WallTime>, jobs: u32) {
+    group.sample_size(10);
+    group.bench_function(BenchmarkId::new("one job frees a third", jobs), |bencher| {
+        bencher.iter_batched(
+            || filled_queue(jobs),
+            |mut queue| {
+                queue.record_end(HUB, JobEndStatus::Served, 0.0);
+                queue
+            },
+            BatchSize::PerIteration,
+        )
+    });
+}
+
+fn all_sizes(criterion: &mut Criterion) {
+    for jobs in SIZES {
+        let mut group = criterion.benchmark_group("queue");
+        add_and_cancel(&mut group, jobs);
+        ready_and_release(&mut group, jobs);
+        free_a_third(&mut group, jobs);
         group.finish();
     }
 }
 
-criterion_group!(benches, sizes);
+criterion_group!(benches, all_sizes);
 criterion_main!(benches);
--- a/crates/deferred-jobs/tests/model.rs
+++ b/crates/deferred-jobs/tests/model.rs
@@ -200,7 +200,8 @@
     fn each_job_ends_once_and_none_is_released_before_its_start_conditions_are_met(
         steps in prop::collection::vec(step(), 1..150),
     ) {
-        let (mut queue, mut model) = (DeferralQueue::new(limits()), Model::default());
+        let mut queue = DeferralQueue::new(limits());
+        let mut model = Model::default();
         for step in steps {
             model.step(&mut queue, step);
         }
@@ -227,7 +228,9 @@
     ) {
         let limits = limits();
         let mut queue = DeferralQueue::new(limits.clone());
-        let (mut now, mut ready, mut class_of) = (0.0, BTreeMap::new(), BTreeMap::new());
+        let mut now = 0.0;
+        let mut ready = BTreeMap::new();
+        let mut class_of = BTreeMap::new();
         let mut gone: Vec<(u32, Millis)> = Vec::new();
         let one = FreeCapacity { free: 1, total: 1, largest_free: 1 };
         let mut pending = jobs.iter().zip(0u32..).peekable();
--- a/crates/deferred-jobs/tests/queue.rs
+++ b/crates/deferred-jobs/tests/queue.rs
@@ -45,28 +45,34 @@
 }
 
 fn released(decisions: &[Decision]) -> BTreeSet<u32> {
-    let id = |v: &Decision| if let Decision::Release(id) = v { Some(id.0) } else { None };
-    decisions.iter().filter_map(id).collect()
+    let released_id = |decision: &Decision| match decision {
+        Decision::Release(id) => Some(id.0),
+        Decision::Fail(_) | Decision::Reject { .. } => None,
+    };
+    decisions.iter().filter_map(released_id).collect()
 }
 
 fn failed(decisions: &[Decision]) -> BTreeSet<u32> {
-    let id = |v: &Decision| if let Decision::Fail(id) = v { Some(id.0) } else { None };
-    decisions.iter().filter_map(id).collect()
+    let failed_id = |decision: &Decision| match decision {
+        Decision::Fail(id) => Some(id.0),
+        Decision::Release(_) | Decision::Reject { .. } => None,
+    };
+    decisions.iter().filter_map(failed_id).collect()
 }
 
 #[test]
 fn dependants_of_a_failed_job_fail_at_once_and_are_never_released() {
     let mut host = Host::new();
     host.queue.record_start("hub");
-    (0..500).for_each(|n| host.defer(n, after(&["hub"]), 0.0).unwrap());
+    for n in 0..500 {
+        host.defer(n, after(&["hub"]), 0.0).unwrap();
+    }
     // Those that wait for one of them end with it; who takes any answer is released.
-    (500..1000).for_each(|n| host.defer(n, after(&[&format!("j{}", n - 500)]), 0.0).unwrap());
-    host.defer(
-        1000,
-        StartConditions { dependencies: vec![Dependency::any_end("j7")], not_before: None },
-        0.0,
-    )
-    .unwrap();
+    for n in 500..1000 {
+        host.defer(n, after(&[&format!("j{}", n - 500)]), 0.0).unwrap();
+    }
+    let any_end = StartConditions { dependencies: vec![Dependency::any_end("j7")], not_before: None };
+    host.defer(1000, any_end, 0.0).unwrap();
     host.queue.record_end("hub", JobEndStatus::Failed, 5.0);
     let decisions = host.turn(5.0);
     assert_eq!(failed(&decisions), (0..1000).collect());
@@ -81,10 +87,12 @@
     for backwards in [false, true] {
         let mut host = Host::new();
         host.queue.record_start("j0");
-        let add = |n: u32, host: &mut Host| host.defer(n, after(&[&format!("j{}", n - 1)]), 0.0).unwrap();
-        match backwards {
-            true => (1..=1000).rev().for_each(|n| add(n, &mut host)),
-            false => (1..=1000).for_each(|n| add(n, &mut host)),
+        let mut arrivals: Vec<u32> = (1..=1000).collect();
+        if backwards {
+            arrivals.reverse();
+        }
+        for n in arrivals {
+            host.defer(n, after(&[&format!("j{}", n - 1)]), 0.0).unwrap();
         }
         for n in 0..1000u32 {
             assert_eq!(host.turn(n.into()), []);
@@ -98,7 +106,9 @@
 fn a_chain_of_jobs_fails_from_the_broken_link_on() {
     let mut host = Host::new();
     host.queue.record_start("j0");
-    (1..=1000).for_each(|n| host.defer(n, after(&[&format!("j{}", n - 1)]), 0.0).unwrap());
+    for n in 1..=1000 {
+        host.defer(n, after(&[&format!("j{}", n - 1)]), 0.0).unwrap();
+    }
     // The client of the middle leaves: what comes before it is not touched.
     host.queue.record_end("j500", JobEndStatus::Disconnected, 1.0);
     assert_eq!(failed(&host.turn(1.0)), (501..=1000).collect());
@@ -182,16 +192,21 @@
 #[test]
 fn jobs_with_one_start_time_are_released_as_fast_as_capacity_allows_and_no_faster() {
     let mut host = Host::new();
-    (0..5_000).for_each(|n| host.defer(n, at(60_000.0), f64::from(n) / 100.0).unwrap());
+    for n in 0..5_000 {
+        host.defer(n, at(60_000.0), f64::from(n) / 100.0).unwrap();
+    }
     host.queue.release(ALL, 59_999.0);
     assert_eq!(host.queue.take_decisions(), []);
-    let (mut now, mut total, mut running) = (60_000.0, 0, 0u32);
+    let mut now = 60_000.0;
+    let mut total = 0;
+    let mut running = 0u32;
     while total < 5_000 {
         // A fleet of 40 slots of which jobs of others take 4; every 50 ms all end.
         let free = 36 - running;
         host.queue.release(FreeCapacity { free, total: 40, largest_free: 5 }, now);
-        let out = released(&host.queue.take_decisions()).len() as u32;
-        (running, total) = (running + out, total + out);
+        let started = released(&host.queue.take_decisions()).len() as u32;
+        running += started;
+        total += started;
         assert!(running <= 34, "{running} slots taken, 6 of 40 are to stay free");
         now += 10.0;
         if now % 50.0 == 0.0 {
@@ -206,7 +221,8 @@
 fn a_rejected_job_is_requeued_while_its_time_allows() {
     let mut host = Host::new();
     host.queue.defer(DeferredJob::new(JobId(1), "a", 500.0, at(0.0)), 0.0).unwrap();
-    let (mut now, mut tries) = (0.0, 0);
+    let mut now = 0.0;
+    let mut tries = 0;
     loop {
         host.queue.release(ALL, now);
         match host.queue.take_decisions()[..] {
@@ -318,7 +334,8 @@
 
 #[test]
 fn migrated_jobs_keep_their_place_and_their_grace() {
-    let (mut old, mut new) = (Host::new(), Host::new());
+    let mut old = Host::new();
+    let mut new = Host::new();
     old.queue.record_start("done");
     old.queue.record_end("done", JobEndStatus::Served, 0.0);
     old.queue.record_start("runs");
