--- a/crates/deferred-jobs/src/dependency_index.rs
+++ b/crates/deferred-jobs/src/dependency_index.rs
@@ -1,6 +1,6 @@
 //! What is known of jobs by their trace ids: which are open, how others ended, and who waits for which.
 
-use crate::{JobEndStatus, JobId, Limits, Millis};
+use crate::{Dependency, JobEndStatus, JobId, Limits, Millis};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::rc::Rc;
 
@@ -110,6 +110,11 @@
         self.entries.get(trace_id).map_or(JobState::Unknown, |entry| entry.state)
     }
 
+    /// Whether nothing is known of at least one of these jobs.
+    pub fn any_unknown(&self, dependencies: &[Dependency]) -> bool {
+        dependencies.iter().any(|dependency| self.state(&dependency.trace_id) == JobState::Unknown)
+    }
+
     /// Whether any job waits for it.
     pub fn has_waiters(&self, trace_id: &str) -> bool {
         self.entries.get(trace_id).is_some_and(|entry| !entry.waiters.is_empty())
--- a/crates/deferred-jobs/src/queue/release.rs
+++ b/crates/deferred-jobs/src/queue/release.rs
@@ -1,7 +1,6 @@
 //! The passage of time and the release of jobs.
 
 use super::{DeferralQueue, Phase, CAPACITY_CHECK_INTERVAL};
-use crate::dependency_index::JobState;
 use crate::pacer::ReleasePacer;
 use crate::timers::NEVER;
 use crate::{AfterRejection, Decision, FreeCapacity, JobEndStatus, JobId, Millis};
@@ -112,10 +111,10 @@
         }
         match job.phase {
             Phase::Blocked if now >= job.grace_until => {
-                job.grace_until = NEVER;
-                if self.has_unknown_dependency(id) {
+                if self.dependencies.any_unknown(&job.unmet_dependencies) {
                     return self.fail(id, now);
                 }
+                job.grace_until = NEVER;
             }
             Phase::Scheduled if now >= job.not_before => {
                 // It has been ready since then, however late the timer runs.
@@ -132,12 +131,6 @@
         self.reschedule(id);
     }
 
-    fn has_unknown_dependency(&self, id: JobId) -> bool {
-        let Some(job) = self.jobs.get(&id) else { return false };
-        let mut dependencies = job.unmet_dependencies.iter();
-        dependencies.any(|dependency| self.dependencies.state(&dependency.trace_id) == JobState::Unknown)
-    }
-
     fn reject(&mut self, id: JobId, now: Millis) {
         let Some(job) = self.jobs.get(&id) else { return };
         let trace_id = job.trace_id.clone();
