--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,140 +1,160 @@
-//! Discovery's protocol, without sockets: calls for the list of workers, and answers as they come in.
+//! Discovery's protocol, without sockets: calls for the endpoint list, and answers as they come in.
 
 use crate::clock::Millis;
 use crate::http::{self, Decoder, Fault, Message, Outbox, RequestLine, StatusLine};
-use serde::Deserialize;
+use postusher_decision::EndpointState;
+use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 use std::str::Utf8Error;
 use thiserror::Error;
 
-/// For so long discovery may hold a call in which nothing changes. Guards against: a watch that falls silent, which
-/// shows only once this is over; until then workers that drain or are gone count as they were.
-pub const WAIT: Millis = 4_000.0;
-/// An answer that has not come so long after that never will. What such a watch has to tell counts as told 2 s after
-/// the wait, so that this leaves time to ask again.
-const PATIENCE: Millis = 1_000.0;
-/// A call is given up after this time, whether it waits or not: a busy discovery has it in its queue, and answers others later for
-/// each call that is made again too early.
-const CALL_LIMIT: Millis = WAIT + PATIENCE;
-/// A call for the whole list is given up sooner: after a move of discovery what it says counts as told 4 s later, and a call that
-/// got lost has to be made again before that.
-const WHOLE_LIST_LIMIT: Millis = 3_000.0;
-/// An answer that has begun and brings nothing more for this time has been cut off: what it says counts as told already.
-pub const STALLED: Millis = 300.0;
+const PATH: &str = "/discovery/hosts";
+const OK: u16 = 200;
+const OK_TEXT: &[u8] = b"200";
+const CONTENT_TOO_LARGE: Fault = Fault(413);
 
-/// In an answer so many bytes stand before its status: `HTTP/1.1` and a blank.
-const BEFORE_STATUS: usize = 9;
+/// The time for which discovery may hold a call while nothing changes. A watch that falls silent shows only after it;
+/// until then draining and removed workers count as they were.
+pub const MAX_WAIT: Millis = 4_000.0;
+/// The time for which an answer may be late. What a silent watch would have said counts as notified 2 s after the wait,
+/// so that this leaves time to call again.
+const LATE_ANSWER: Millis = 1_000.0;
+/// The time limit of a call for changes, whether it waits or not. A busy discovery has the call in its queue, and each
+/// call that is repeated too early makes the queue longer.
+const CHANGES_LIMIT: Millis = MAX_WAIT + LATE_ANSWER;
+/// The time limit of a call for the complete list. When discovery has moved, its list counts as notified 4 s later, and a
+/// lost call has to be repeated before that.
+const COMPLETE_LIST_LIMIT: Millis = 3_000.0;
+/// An answer that has begun and brings nothing more for this time was cut off: what it says counts as notified already.
+pub const STALLED: Millis = 300.0;
+/// The bytes in front of the status in an answer: `HTTP/1.1` and a blank.
+const BYTES_BEFORE_STATUS: usize = 9;
+/// The weight of a worker whose entry has none.
+const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Call {
-    /// The version since which changes are asked for; `None`: the whole list.
+    /// The version since which changes are requested; `None` requests the complete list.
     pub after: Option<u64>,
-    /// How long discovery may wait for changes.
+    /// The time for which discovery may wait for changes.
     pub wait: Millis,
 }
 
 impl Call {
-    /// For how long an answer to it may take to begin and to come whole.
+    /// The time limit of its answer.
     pub fn limit(&self) -> Millis {
-        if self.after.is_some() {
-            CALL_LIMIT
-        } else {
-            WHOLE_LIST_LIMIT
+        match self.after {
+            Some(_) => CHANGES_LIMIT,
+            None => COMPLETE_LIST_LIMIT,
         }
     }
 
-    /// Its bytes.
+    /// The call in HTTP, to discovery at this address.
     pub fn bytes(&self, host: SocketAddr) -> Vec<u8> {
         let target = match self.after {
-            Some(version) => format!("/discovery/hosts?after={version}&wait_ms={}", self.wait),
-            None => "/discovery/hosts".to_string(),
+            Some(version) => format!("{PATH}?after={version}&wait_ms={}", self.wait),
+            None => PATH.to_string(),
         };
         let line = RequestLine { method: "GET".into(), target };
         http::request(&line, &[("Host", host.to_string().as_bytes())], b"")
     }
 }
 
-/// A list, or changes to one, as discovery tells it.
+/// An endpoint list, or changes to one.
 #[derive(Debug, Default)]
 pub struct List {
-    /// Its version, where it says one.
+    /// Its version, if it has one.
     pub version: Option<u64>,
-    /// It names all workers that there are.
-    pub full: bool,
+    /// It names all endpoints, not only those that changed.
+    pub is_complete: bool,
     /// Its entries.
     pub entries: Vec<Entry>,
 }
 
-/// One worker as discovery tells it.
+/// One worker's entry in a list.
 #[derive(Debug, Deserialize)]
 pub struct Entry {
-    /// Its name, the same at all schedulers.
-    pub id: String,
+    /// The worker's name, the same at all schedulers.
+    #[serde(rename = "id")]
+    pub name: String,
     /// Where it listens.
     pub addr: SocketAddr,
     /// Its zone's name.
     #[serde(default)]
     pub zone: String,
-    /// The name of its kind of machine.
+    /// The name of its machine kind.
     #[serde(default)]
     pub kind: String,
     /// Its cell.
     #[serde(default)]
     pub cell: u16,
-    /// `up`, `draining` or `removed`.
-    pub state: String,
-    /// Its size against others; no unit.
-    #[serde(default = "usual_weight")]
+    /// Whether it gets jobs.
+    #[serde(deserialize_with = "endpoint_state")]
+    pub state: EndpointState,
+    /// Its capacity relative to others.
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Its last start as Unix time in milliseconds; 0: long ago.
-    #[serde(default)]
-    pub started_ms: f64,
+    /// Its last start, in Unix time; 0 for long ago.
+    #[serde(rename = "started_ms", default)]
+    pub started_at: Millis,
 }
 
-fn usual_weight() -> f64 {
-    1.0
+/// A worker in a state that is not known here gets nothing new.
+fn endpoint_state<'de, D: Deserializer<'de>>(deserializer: D) -> Result<EndpointState, D::Error> {
+    let name = String::deserialize(deserializer)?;
+    Ok(match name.as_str() {
+        "up" => EndpointState::Ready,
+        "removed" => EndpointState::Removed,
+        _ => EndpointState::Draining,
+    })
 }
 
-/// A list as it is written, its entries unread.
+fn default_weight() -> f64 {
+    DEFAULT_WEIGHT
+}
+
+/// The form of a list, with its parts unread.
 #[derive(Deserialize)]
-struct Written<'a> {
+struct ListForm<'a> {
     #[serde(borrow, default)]
     version: Option<&'a RawValue>,
-    #[serde(borrow, default)]
-    full: Option<&'a RawValue>,
-    #[serde(borrow)]
-    servers: Vec<&'a RawValue>,
+    #[serde(rename = "full", borrow, default)]
+    is_complete: Option<&'a RawValue>,
+    #[serde(rename = "servers", borrow)]
+    entries: Vec<&'a RawValue>,
 }
 
 impl List {
-    /// Reads a list. An entry that cannot be read is left out: the others are still good. Memory and time are in proportion to
-    /// the text.
+    /// Reads a list. An entry that cannot be read is left out, and the others are used. Memory and time are in
+    /// proportion to the text.
     ///
     /// # Errors
-    /// What is wrong with the whole.
+    /// The text as a whole is not a list.
     pub fn read(text: &str) -> Result<List, ListError> {
-        fn read<'a, T: Deserialize<'a>>(raw: Option<&'a RawValue>) -> Option<T> {
-            serde_json::from_str(raw?.get()).ok()
-        }
-        let written: Written =
+        let form: ListForm =
             serde_json::from_str(text).map_err(|error| ListError::Malformed(error.to_string()))?;
-        let entry = |raw: &&RawValue| match serde_json::from_str(raw.get()) {
-            Ok(entry) => Some(entry),
-            Err(e) => {
-                log::warn!("discovery: an entry cannot be read: {e}");
-                None
+        let mut entries = Vec::new();
+        for entry in &form.entries {
+            match serde_json::from_str(entry.get()) {
+                Ok(entry) => entries.push(entry),
+                Err(error) => log::warn!("endpoint entry not read: error={error}"),
             }
-        };
+        }
         Ok(List {
-            version: read(written.version),
-            full: read(written.full).unwrap_or(false),
-            entries: written.servers.iter().filter_map(entry).collect(),
+            version: value_or_none(form.version),
+            is_complete: value_or_none(form.is_complete).unwrap_or(false),
+            entries,
         })
     }
 }
 
+/// A value that may be missing; one of another type counts as missing.
+fn value_or_none<'a, T: Deserialize<'a>>(raw: Option<&'a RawValue>) -> Option<T> {
+    serde_json::from_str(raw?.get()).ok()
+}
+
 /// Why a text is not an endpoint list.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum ListError {
@@ -184,11 +204,14 @@
 }
 
 impl DiscoveryError {
-    /// Whether discovery has begun to answer with a list: what that says counts as told, though it is not known here.
+    /// Whether discovery has begun to answer with a list. What that says counts as notified, though it is not known
+    /// here.
     pub fn hides_list(&self) -> bool {
         match self {
-            DiscoveryError::EndedInAnswer | DiscoveryError::StalledInAnswer => true,
-            DiscoveryError::TooLong(_) | DiscoveryError::NotAList(_) => true,
+            DiscoveryError::EndedInAnswer
+            | DiscoveryError::StalledInAnswer
+            | DiscoveryError::TooLong(_)
+            | DiscoveryError::NotAList(_) => true,
             DiscoveryError::NotHttp { begins_well, .. } => *begins_well,
             DiscoveryError::NoConnection(_)
             | DiscoveryError::Ended
@@ -198,7 +221,7 @@
     }
 }
 
-/// A list that came whole.
+/// An answer with a list.
 #[derive(Debug)]
 pub struct Answer {
     /// The list.
@@ -210,19 +233,23 @@
 /// A connection to discovery, without its socket.
 pub struct Connection {
     decoder: Decoder<StatusLine>,
-    /// A list holds this many bytes at most.
+    /// Limit of a list, in bytes.
     max_list: usize,
-    /// The call on its way.
+    /// The call that is being sent.
     pub outbox: Outbox,
-    /// When it is given up.
+    /// When the call is given up; infinite before the first call.
     pub given_up_at: Millis,
 }
 
 impl Connection {
-    /// A connection on which no call is made yet; lists hold so many bytes at most.
+    /// A connection without a call. `max_list` is the limit of a list, in bytes.
     pub fn new(max_list: usize) -> Self {
-        let (decoder, outbox) = (Decoder::with_limit(max_list), Outbox::default());
-        Connection { decoder, max_list, outbox, given_up_at: f64::INFINITY }
+        Connection {
+            decoder: Decoder::with_limit(max_list),
+            max_list,
+            outbox: Outbox::default(),
+            given_up_at: f64::INFINITY,
+        }
     }
 
     /// Makes a call to discovery at this address.
@@ -231,36 +258,43 @@
         self.given_up_at = now + call.limit();
     }
 
-    /// Takes in what was read; gives the list once it is whole.
+    /// Takes bytes that were read; returns how the call ended, once it has.
     pub fn receive(&mut self, bytes: &[u8]) -> Option<Result<Answer, DiscoveryError>> {
         self.decoder.feed(bytes);
         let begins_well = self.has_begun();
         match self.decoder.next() {
-            Ok(message) => message.map(read),
-            Err(Fault(413)) if begins_well => Some(Err(DiscoveryError::TooLong(self.max_list))),
+            Ok(message) => message.map(read_answer),
+            Err(CONTENT_TOO_LARGE) if begins_well => Some(Err(DiscoveryError::TooLong(self.max_list))),
             Err(fault) => Some(Err(DiscoveryError::NotHttp { fault, begins_well })),
         }
     }
 
-    /// Whether an answer has begun that brings a list, and has not come whole. Guards against: a refusal that comes in pieces,
-    /// taken for news.
+    /// Whether an answer with a list has begun and is not complete. The status decides, as an error may come in pieces,
+    /// too.
     pub fn has_begun(&self) -> bool {
-        let status = |head: &[u8]| head.get(BEFORE_STATUS..).is_some_and(|rest| rest.starts_with(b"200"));
-        self.decoder.begun_line().map_or_else(|| status(self.decoder.rest()), |line| line.status == 200)
+        match self.decoder.begun_line() {
+            Some(line) => line.status == OK,
+            None => match self.decoder.rest().get(BYTES_BEFORE_STATUS..) {
+                Some(rest) => rest.starts_with(OK_TEXT),
+                None => false,
+            },
+        }
     }
 
-    /// It has ended: a list that goes to the end of the connection is whole now.
+    /// The connection has ended, and with it an answer without a length.
+    ///
+    /// # Errors
+    /// There was no answer, or it is not a list. An answer without a length that was cut off is not a list, either.
     pub fn end(&mut self) -> Result<Answer, DiscoveryError> {
-        let begun = self.has_begun();
+        let has_begun = self.has_begun();
         match self.decoder.end() {
-            // Without a length, one that was cut off ends in the same way: it is no list then.
-            Some(message) => read(message),
-            None if begun => Err(DiscoveryError::EndedInAnswer),
+            Some(message) => read_answer(message),
+            None if has_begun => Err(DiscoveryError::EndedInAnswer),
             None => Err(DiscoveryError::Ended),
         }
     }
 
-    /// It has run out of time.
+    /// How a call ends whose time limit has passed.
     pub fn timed_out(&self) -> DiscoveryError {
         if self.has_begun() {
             DiscoveryError::StalledInAnswer
@@ -270,8 +304,8 @@
     }
 }
 
-fn read(message: Message<StatusLine>) -> Result<Answer, DiscoveryError> {
-    if message.line.status != 200 {
+fn read_answer(message: Message<StatusLine>) -> Result<Answer, DiscoveryError> {
+    if message.line.status != OK {
         return Err(DiscoveryError::Status(message.line.status));
     }
     let text = std::str::from_utf8(&message.body).map_err(ListError::from)?;
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -1,8 +1,9 @@
-use super::*;
+use super::{Call, Connection, DiscoveryError, List, MAX_WAIT};
+use crate::http;
 use serde_json::json;
 
-fn list(full: bool, servers: serde_json::Value) -> List {
-    List::read(&json!({"version": 43, "full": full, "servers": servers}).to_string()).unwrap()
+fn list(is_complete: bool, servers: serde_json::Value) -> List {
+    List::read(&json!({"version": 43, "full": is_complete, "servers": servers}).to_string()).unwrap()
 }
 
 fn connection() -> Connection {
@@ -10,28 +11,28 @@
 }
 
 #[test]
-fn a_bad_entry_is_left_out_and_a_bad_list_is_an_error() {
-    assert_eq!(
-        list(true, json!([{"id": "s-1"}, {"id": "s-2", "addr": "127.0.0.1:9", "state": "up"}])).entries.len(),
-        1
-    );
+fn an_unreadable_entry_is_left_out_and_an_unreadable_list_is_an_error() {
+    let list = list(true, json!([{"id": "s-1"}, {"id": "s-2", "addr": "127.0.0.1:9", "state": "up"}]));
+    assert_eq!(list.entries.len(), 1);
     assert!(List::read(&json!({"version": 1}).to_string()).is_err());
 }
 
 #[test]
-fn an_answer_is_a_list_or_a_failure() {
+fn an_answer_is_a_list_or_an_error() {
     let answer = |status: u16, body: &[u8]| connection().receive(&http::response(status, &[], body, true));
     let body = json!({"version": 7, "full": false, "servers": []}).to_string();
-    assert!(answer(200, body.as_bytes()).unwrap().is_ok_and(|a| a.list.version == Some(7) && a.keep_alive));
+    assert!(answer(200, body.as_bytes())
+        .unwrap()
+        .is_ok_and(|answer| answer.list.version == Some(7) && answer.keep_alive));
     assert_eq!(answer(503, b"").unwrap().err(), Some(DiscoveryError::Status(503)));
     assert!(answer(200, b"{").unwrap().is_err());
     assert!(connection().receive(b"HTTP/1.1 200 OK\r\nContent-Le").is_none());
     assert_eq!(connection().end().err(), Some(DiscoveryError::Ended));
 }
 
-/// What discovery has written counts as told, whether it arrives or not; a refusal tells nothing.
+/// What discovery has written counts as notified, whether it arrives or not; an error says nothing.
 #[test]
-fn an_answer_that_was_begun_and_is_not_known_is_told_from_no_answer() {
+fn an_incomplete_answer_hides_a_list_and_an_incomplete_error_does_not() {
     let ends_after = |bytes: &[u8]| {
         let mut connection = connection();
         assert!(connection.receive(bytes).is_none());
@@ -51,14 +52,15 @@
 }
 
 #[test]
-fn a_call_is_given_up_late_enough_for_a_busy_discovery_and_in_time_for_a_silent_one() {
-    // Guards against: calls made again while a crowded discovery still has the first in its queue, which keeps it crowded;
-    // and a silent watch that is asked again only after what it had to tell counts as told, 2 s after the wait.
-    for wait in [0.0, WAIT] {
+fn time_limits_of_calls_suit_a_busy_and_a_silent_discovery() {
+    // A busy discovery still has the first call in its queue, and a repeated one would make the queue longer. A silent
+    // watch must be repeated before what it had to say counts as notified, 2 s after the wait.
+    for wait in [0.0, MAX_WAIT] {
         let limit = Call { after: Some(1), wait }.limit();
-        assert!((4_000.0..=WAIT + 1_500.0).contains(&limit));
+        assert!((4_000.0..=MAX_WAIT + 1_500.0).contains(&limit));
     }
-    // After a move the list counts as told 4 s later: a lost call is made again before that, and not while it may be queued.
+    // When discovery has moved, its list counts as notified 4 s later: a lost call is repeated before that, but not while
+    // it may be queued.
     let limit = Call { after: None, wait: 0.0 }.limit();
     assert!((2_000.0..4_000.0 - 500.0).contains(&limit));
 }
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -1,6 +1,7 @@
-//! The workers that discovery's list names, and what is asked of discovery next.
+//! The workers on discovery's endpoint list with their ids, those that operators have disabled, and the next call to
+//! discovery.
 
-use crate::discovery::{self, Call, Entry, List};
+use crate::discovery::{Call, Entry, List, MAX_WAIT};
 use crate::stable_hash::fnv1a;
 use postusher_decision::{Endpoint, EndpointState, ListUpdate, WorkerId};
 use postusher_settings::{micros_from_millis, SiteSettings};
@@ -8,7 +9,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A worker as the scheduler knows it.
+/// The number of a zone or machine kind that the settings do not name.
+const UNKNOWN_NUMBER: u16 = u16::MAX;
+
+/// A worker on the endpoint list.
 pub struct ListedWorker {
     /// Discovery's name for it.
     pub name: Rc<str>,
@@ -16,45 +20,46 @@
     pub addr: SocketAddr,
 }
 
-/// The workers that the list has named.
+/// The endpoint list as this scheduler holds it.
 pub struct EndpointList {
     workers: HashMap<WorkerId, ListedWorker>,
-    /// The numbers of all names that stand on the list or are taken out. Guards against: a name whose number is another's hash,
-    /// which would have two numbers once that other has gone, and go on under the one of which no more is heard.
-    numbers: HashMap<Rc<str>, WorkerId>,
-    /// Those that an operator has taken out, on the list or not: their numbers stay theirs.
+    /// The ids of all workers that are listed or disabled. A name whose hash another name had first has the next id, and
+    /// keeps it when that other worker is removed.
+    ids: HashMap<Rc<str>, WorkerId>,
+    /// The names of the workers that operators have disabled, whether they are listed or not.
     disabled: BTreeMap<WorkerId, Rc<str>>,
     version: Option<u64>,
-    /// The last call to discovery was answered: what is held is as new as discovery's own list, and the next call may wait.
-    confirmed: bool,
+    /// Discovery has answered the last call: the list held is as new as its own, and the next call may wait.
+    is_confirmed: bool,
     zones: Vec<String>,
     machine_kinds: Vec<String>,
 }
 
 /// What a list has changed.
 pub struct ListChange {
-    /// Whether it was a whole list.
+    /// Whether the list was complete.
     pub update: ListUpdate,
-    /// Its lines, for the module.
+    /// Its entries, for the decision module.
     pub endpoints: Vec<Endpoint>,
-    /// Targets that are gone or have another address: connections to them are of no more use.
+    /// Workers that were removed or have another address: connections to them must not be used again.
     pub stale: Vec<WorkerId>,
 }
 
-/// A name's place among those the settings list; one that they lack is no other's.
-fn place(names: &[String], name: &str) -> u16 {
-    names.iter().position(|n| n == name).map_or(u16::MAX, |i| i as u16)
-}
-
 impl EndpointList {
-    /// No workers.
+    /// An empty list.
     pub fn new(site: &SiteSettings) -> Self {
-        let (zones, machine_kinds) = (site.zones.clone(), site.machine_kinds.clone());
-        let (workers, numbers, disabled) = (HashMap::new(), HashMap::new(), BTreeMap::new());
-        EndpointList { workers, numbers, disabled, version: None, confirmed: false, zones, machine_kinds }
+        EndpointList {
+            workers: HashMap::new(),
+            ids: HashMap::new(),
+            disabled: BTreeMap::new(),
+            version: None,
+            is_confirmed: false,
+            zones: site.zones.clone(),
+            machine_kinds: site.machine_kinds.clone(),
+        }
     }
 
-    /// A worker that the list has named.
+    /// A worker, if it is listed.
     pub fn get(&self, id: WorkerId) -> Option<&ListedWorker> {
         self.workers.get(&id)
     }
@@ -64,77 +69,81 @@
         self.workers.keys().copied()
     }
 
-    /// Takes in a list or changes. Costs time in proportion to what is listed and held.
+    /// Takes in a list or changes, in time in proportion to what is listed and held.
     pub fn apply(&mut self, list: List) -> ListChange {
         self.version = list.version.or(self.version);
-        let full = list.full;
+        let mut endpoints = Vec::with_capacity(list.entries.len());
         let mut stale = Vec::new();
-        let endpoints: Vec<Endpoint> =
-            list.entries.into_iter().map(|entry| self.endpoint(entry, &mut stale)).collect();
-        let gone: Vec<WorkerId> = if full {
-            let listed: HashSet<WorkerId> = endpoints.iter().map(|m| m.worker).collect();
-            self.workers.keys().filter(|id| !listed.contains(id)).copied().collect()
-        } else {
-            Vec::new()
-        };
-        let removed = endpoints.iter().filter(|m| m.state == EndpointState::Removed).map(|m| m.worker);
-        for id in gone.into_iter().chain(removed) {
+        for entry in list.entries {
+            endpoints.push(self.apply_entry(entry, &mut stale));
+        }
+        let mut removed = if list.is_complete { self.workers_missing_in(&endpoints) } else { Vec::new() };
+        for endpoint in &endpoints {
+            if endpoint.state == EndpointState::Removed {
+                removed.push(endpoint.worker);
+            }
+        }
+        for id in removed {
             if let Some(worker) = self.workers.remove(&id) {
-                self.forget_number(&worker.name, id);
+                self.release_id(&worker.name, id);
                 stale.push(id);
             }
         }
-        ListChange { update: if full { ListUpdate::Complete } else { ListUpdate::Changes }, endpoints, stale }
+        let update = if list.is_complete { ListUpdate::Complete } else { ListUpdate::Changes };
+        ListChange { update, endpoints, stale }
     }
 
-    /// A name that is neither listed nor taken out has no number any more.
-    fn forget_number(&mut self, name: &str, id: WorkerId) {
-        if !self.workers.contains_key(&id) && !self.disabled.contains_key(&id) {
-            self.numbers.remove(name);
+    /// The workers held that a complete list no longer names.
+    fn workers_missing_in(&self, endpoints: &[Endpoint]) -> Vec<WorkerId> {
+        let listed: HashSet<WorkerId> = endpoints.iter().map(|endpoint| endpoint.worker).collect();
+        self.listed_workers().filter(|id| !listed.contains(id)).collect()
+    }
+
+    /// Takes in one entry; `stale` gets the worker if it has another address than before.
+    fn apply_entry(&mut self, entry: Entry, stale: &mut Vec<WorkerId>) -> Endpoint {
+        let worker = self.assign_id(&entry.name);
+        let name = match self.workers.get(&worker) {
+            Some(listed) => listed.name.clone(),
+            None => Rc::from(entry.name.as_str()),
+        };
+        let before = self.workers.insert(worker, ListedWorker { name, addr: entry.addr });
+        if before.is_some_and(|before| before.addr != entry.addr) {
+            stale.push(worker);
+        }
+        Endpoint {
+            worker,
+            state: entry.state,
+            capacity_weight: entry.weight,
+            started_at: micros_from_millis(entry.started_at),
+            cell: entry.cell,
+            kind: number_of(&self.machine_kinds, &entry.kind),
+            zone: number_of(&self.zones, &entry.zone),
         }
     }
 
-    /// The list comes from another service from now on. Guards against: a call for the changes since a version
-    /// that only the service before it knows.
+    /// The list comes from another service from now on, which does not know the versions of the one before.
     pub fn discovery_moved(&mut self) {
-        (self.version, self.confirmed) = (None, false);
+        self.version = None;
+        self.is_confirmed = false;
     }
 
-    /// Whether an answer to a call for what is newer than the version held is older than that.
+    /// Whether the list held is newer than one that discovery has sent.
     pub fn is_newer_than(&self, list: &List) -> bool {
-        self.version.zip(list.version).is_some_and(|(held, told)| told < held)
+        match (self.version, list.version) {
+            (Some(held), Some(received)) => received < held,
+            _ => false,
+        }
     }
 
-    /// Discovery has answered a call, or has not.
+    /// Discovery has answered a call, or has failed to.
     pub fn set_confirmed(&mut self, confirmed: bool) {
-        self.confirmed = confirmed;
+        self.is_confirmed = confirmed;
     }
 
-    /// Takes in one line; `stale` gets a worker that has moved, as jobs must not be sent over connections from before.
-    fn endpoint(&mut self, e: Entry, stale: &mut Vec<WorkerId>) -> Endpoint {
-        let worker = self.number(&e.id);
-        let name = self.workers.get(&worker).map_or_else(|| Rc::from(e.id.as_str()), |t| t.name.clone());
-        let before = self.workers.insert(worker, ListedWorker { name, addr: e.addr });
-        stale.extend(before.filter(|t| t.addr != e.addr).map(|_| worker));
-        Endpoint {
-            worker,
-            state: match e.state.as_str() {
-                "up" => EndpointState::Ready,
-                "removed" => EndpointState::Removed,
-                _ => EndpointState::Draining, // a state that is not known wants nothing new
-            },
-            capacity_weight: e.weight,
-            started_at: micros_from_millis(e.started_ms),
-            cell: e.cell,
-            kind: place(&self.machine_kinds, &e.kind),
-            zone: place(&self.zones, &e.zone),
-        }
-    }
-
-    /// A name's number: the one that it has, else by hash, so that all schedulers find the same worker for a key; the next
-    /// where that is taken by another name.
+    /// The id of a worker: the one that it has, else one by the hash of its name, so that all schedulers find the same
+    /// worker for a key; the next one where another worker has that id.
     pub fn id(&self, name: &str) -> WorkerId {
-        if let Some(id) = self.numbers.get(name) {
+        if let Some(id) = self.ids.get(name) {
             return *id;
         }
         let mut id = WorkerId(fnv1a(name.as_bytes()) as u32);
@@ -144,22 +153,31 @@
         id
     }
 
-    /// The same, and keeps it for as long as the name is listed or taken out.
-    fn number(&mut self, name: &str) -> WorkerId {
+    /// The id of a worker, which it keeps for as long as it is listed or disabled.
+    fn assign_id(&mut self, name: &str) -> WorkerId {
         let id = self.id(name);
-        if !self.numbers.contains_key(name) {
-            self.numbers.insert(name.into(), id);
+        if !self.ids.contains_key(name) {
+            self.ids.insert(name.into(), id);
         }
         id
     }
 
-    /// Whose number this is.
+    /// Frees the id of a worker that is neither listed nor disabled.
+    fn release_id(&mut self, name: &str, id: WorkerId) {
+        if !self.workers.contains_key(&id) && !self.disabled.contains_key(&id) {
+            self.ids.remove(name);
+        }
+    }
+
+    /// The name of a worker that is listed or disabled.
     fn name(&self, id: WorkerId) -> Option<&Rc<str>> {
-        self.workers.get(&id).map(|t| &t.name).or_else(|| self.disabled.get(&id))
+        match self.workers.get(&id) {
+            Some(worker) => Some(&worker.name),
+            None => self.disabled.get(&id),
+        }
     }
 
-    /// An operator takes a worker out; `None` if the list does not name it and it is not out already. Guards
-    /// against: a slip of the pen that is taken for a worker.
+    /// An operator disables a worker; `None` if it is neither listed nor disabled, as the name may be mistyped.
     pub fn disable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         let name = self.name(id)?.clone();
@@ -167,32 +185,40 @@
         Some(id)
     }
 
-    /// Another process of this scheduler has taken a worker out, be it listed here or not.
+    /// Another process of this scheduler has disabled a worker, which may not be listed here.
     pub fn disable_unlisted(&mut self, name: &str) -> WorkerId {
-        let id = self.number(name);
+        let id = self.assign_id(name);
         self.disabled.insert(id, name.into());
         id
     }
 
-    /// The names of the workers that are out.
+    /// The names of the disabled workers.
     pub fn disabled_names(&self) -> impl Iterator<Item = &str> + '_ {
         self.disabled.values().map(|name| &**name)
     }
 
-    /// An operator takes a worker back, likewise; one call undoes any number of those out.
+    /// An operator enables a worker, however often it was disabled; `None` if it is neither listed nor disabled.
     pub fn enable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         self.name(id)?;
         self.disabled.remove(&id);
-        self.forget_number(name, id);
+        self.release_id(name, id);
         Some(id)
     }
 
-    /// The next call to discovery: for the changes since the version held, or for the whole list where none is held. It waits for
-    /// changes only where the last was answered. Guards against: a list from before a start or a failed call, of which nobody
-    /// knows for the length of a wait whether it still holds.
+    /// The next call to discovery: for the changes since the version held, or for the complete list if none is held.
+    /// After a start or a failed call it does not wait for changes, as nobody would know in that time whether the list
+    /// held is still right.
     pub fn next_call(&self) -> Call {
-        Call { after: self.version, wait: if self.confirmed { discovery::WAIT } else { 0.0 } }
+        Call { after: self.version, wait: if self.is_confirmed { MAX_WAIT } else { 0.0 } }
+    }
+}
+
+/// The place of a name among those of the settings.
+fn number_of(names: &[String], name: &str) -> u16 {
+    match names.iter().position(|other| other == name) {
+        Some(number) => number as u16,
+        None => UNKNOWN_NUMBER,
     }
 }
 
--- a/crates/node/src/endpoint_list/tests.rs
+++ b/crates/node/src/endpoint_list/tests.rs
@@ -1,9 +1,13 @@
-use super::*;
+use super::{EndpointList, ListChange};
 use crate::config::tests::config;
+use crate::discovery::List;
+use crate::stable_hash::fnv1a;
+use postusher_decision::{Endpoint, EndpointState, ListUpdate};
 use serde_json::{json, Value};
+use std::collections::HashMap;
 
-fn list(full: bool, servers: Value) -> List {
-    List::read(&json!({"version": 43, "full": full, "servers": servers}).to_string()).unwrap()
+fn list(is_complete: bool, servers: Value) -> List {
+    List::read(&json!({"version": 43, "full": is_complete, "servers": servers}).to_string()).unwrap()
 }
 
 fn server(id: &str, state: &str) -> Value {
@@ -12,23 +16,26 @@
 }
 
 #[test]
-fn entries_become_members_and_only_listed_targets_have_an_address() {
+fn entries_become_endpoints_and_only_listed_workers_have_an_address() {
     let mut endpoints = EndpointList::new(&config().site);
     let ListChange { update, endpoints: listed, stale } =
         endpoints.apply(list(true, json!([server("s-1", "up"), server("s-2", "draining")])));
-    let m = &listed[0];
+    let first = &listed[0];
     assert!(stale.is_empty());
-    assert_eq!((update, m.zone, m.kind, m.cell, m.capacity_weight), (ListUpdate::Complete, 1, 1, 2, 1.5));
-    assert_eq!((m.state, m.started_at), (EndpointState::Ready, 1_700_000_000_123_500));
+    assert_eq!(
+        (update, first.zone, first.kind, first.cell, first.capacity_weight),
+        (ListUpdate::Complete, 1, 1, 2, 1.5)
+    );
+    assert_eq!((first.state, first.started_at), (EndpointState::Ready, 1_700_000_000_123_500));
     assert_eq!(listed[1].state, EndpointState::Draining);
     let ListChange { update, endpoints: gone, stale } =
         endpoints.apply(list(false, json!([server("s-1", "removed")])));
-    assert_eq!(stale, vec![m.worker]);
+    assert_eq!(stale, vec![first.worker]);
     assert_eq!(
         (update, gone[0].state, gone[0].worker),
-        (ListUpdate::Changes, EndpointState::Removed, m.worker)
+        (ListUpdate::Changes, EndpointState::Removed, first.worker)
     );
-    assert!(endpoints.get(m.worker).is_none() && endpoints.get(listed[1].worker).is_some());
+    assert!(endpoints.get(first.worker).is_none() && endpoints.get(listed[1].worker).is_some());
     let mut moved = server("s-2", "up");
     moved["addr"] = json!("127.0.0.2:9");
     assert_eq!(endpoints.apply(list(false, json!([moved]))).stale, vec![listed[1].worker]);
@@ -37,7 +44,7 @@
 }
 
 #[test]
-fn a_target_out_keeps_its_number_off_the_list_and_an_unknown_one_is_none() {
+fn a_disabled_worker_keeps_its_id_off_the_list_and_an_unknown_one_has_none() {
     let mut endpoints = EndpointList::new(&config().site);
     assert!(endpoints.disable("s-1").is_none() && endpoints.enable("s-1").is_none());
     let id = endpoints.apply(list(true, json!([server("s-1", "up")]))).endpoints[0].worker;
@@ -46,22 +53,23 @@
     assert_eq!(endpoints.disable("s-1"), Some(id));
     assert_eq!(endpoints.apply(list(true, json!([server("s-1", "up")]))).endpoints[0].worker, id);
     assert_eq!(endpoints.enable("s-1"), Some(id));
-    assert_eq!(endpoints.enable("s-1"), Some(id)); // a second call back changes nothing
-                                                   // The other process of an upgrade may have read of a worker first.
-    let held = endpoints.disable_unlisted("s-2");
+    // A second call changes nothing.
+    assert_eq!(endpoints.enable("s-1"), Some(id));
+    // The other process of an upgrade may have read about a worker first.
+    let id = endpoints.disable_unlisted("s-2");
     assert_eq!(endpoints.disabled_names().collect::<Vec<_>>(), ["s-2"]);
-    assert_eq!(endpoints.apply(list(false, json!([server("s-2", "up")]))).endpoints[0].worker, held);
+    assert_eq!(endpoints.apply(list(false, json!([server("s-2", "up")]))).endpoints[0].worker, id);
 }
 
 #[test]
-fn a_watch_goes_on_from_the_version_held() {
+fn the_next_call_continues_from_the_version_held() {
     let mut endpoints = EndpointList::new(&config().site);
     let text = |endpoints: &EndpointList| {
         String::from_utf8(endpoints.next_call().bytes(([127, 0, 0, 1], 9).into())).unwrap()
     };
     assert!(text(&endpoints).starts_with("GET /discovery/hosts HTTP/1.1\r\n"));
     endpoints.apply(list(false, json!([])));
-    // What a start or a failed call leaves in doubt is asked for without a wait, and answered soon or never.
+    // After a start or a failed call, nobody knows whether the list is still right: the call does not wait.
     assert!(text(&endpoints).starts_with("GET /discovery/hosts?after=43&wait_ms=0 HTTP/1.1\r\n"));
     endpoints.set_confirmed(true);
     assert!(text(&endpoints).starts_with("GET /discovery/hosts?after=43&wait_ms=4000 HTTP/1.1\r\n"));
@@ -69,13 +77,12 @@
     assert!(text(&endpoints).contains("wait_ms=0"));
 }
 
-/// Two names of one hash: the second has the next number, and keeps it when the first has gone.
+/// Of two names with one hash the second has the next id, and keeps it when the first is removed.
 #[test]
-fn a_name_keeps_its_number_when_another_of_the_same_hash_goes() {
-    // These two have the same 32 bits of their hash.
+fn a_name_keeps_its_id_when_another_with_the_same_hash_is_removed() {
     let (first, second) = colliding_names();
     let mut endpoints = EndpointList::new(&config().site);
-    let ids = |listed: &[Endpoint]| listed.iter().map(|m| m.worker).collect::<Vec<_>>();
+    let ids = |listed: &[Endpoint]| listed.iter().map(|endpoint| endpoint.worker).collect::<Vec<_>>();
     let before =
         ids(&endpoints.apply(list(true, json!([server(&first, "up"), server(&second, "up")]))).endpoints);
     assert_ne!(before[0], before[1]);
@@ -85,7 +92,7 @@
     assert_eq!(endpoints.listed_workers().collect::<Vec<_>>(), before[1..]);
 }
 
-/// Looks for them: among 200,000 names some share 32 bits.
+/// Two names whose hashes share 32 bits; among 200,000 names there are some.
 fn colliding_names() -> (String, String) {
     let mut seen = HashMap::new();
     for name in (0..).map(|n| format!("s-{n:08x}")) {
@@ -93,12 +100,12 @@
             return (other, name);
         }
     }
-    unreachable!("numbers are endless, hashes are not")
+    unreachable!("there are more names than hashes")
 }
 
-/// A list of the largest fleet costs time in proportion to its length, not to its square.
+/// The list of the largest fleet takes time in proportion to its length, not to its square.
 #[test]
-fn the_list_of_a_large_fleet_is_taken_in_whole_and_tells_who_has_gone() {
+fn a_large_list_is_applied_whole_and_shows_who_was_removed() {
     let mut endpoints = EndpointList::new(&config().site);
     let all = |from: usize| (from..from + 3_200).map(|n| server(&format!("s-{n}"), "up")).collect::<Vec<_>>();
     assert_eq!(endpoints.apply(list(true, json!(all(0)))).endpoints.len(), 3_200);
--- a/crates/node/src/upgrade_protocol.rs
+++ b/crates/node/src/upgrade_protocol.rs
@@ -272,17 +272,17 @@
     /// out: the other process may be of another version.
     pub fn receive(&mut self, bytes: &[u8]) -> Vec<Message> {
         self.inbox.extend_from_slice(bytes);
-        let Some(end) = self.inbox.iter().rposition(|b| *b == b'\n') else { return Vec::new() };
+        let Some(end) = self.inbox.iter().rposition(|byte| *byte == b'\n') else { return Vec::new() };
         let rest = self.inbox.split_off(end + 1);
         let lines = std::mem::replace(&mut self.inbox, rest);
-        let read = |line: &[u8]| match serde_json::from_slice(line) {
-            Ok(message) => Some(message),
-            Err(error) => {
-                log::warn!("upgrade message not read: error={error}");
-                None
+        let mut messages = Vec::new();
+        for line in lines.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+            match serde_json::from_slice(line) {
+                Ok(message) => messages.push(message),
+                Err(error) => log::warn!("upgrade message not read: error={error}"),
             }
-        };
-        lines.split(|b| *b == b'\n').filter(|line| !line.is_empty()).filter_map(read).collect()
+        }
+        messages
     }
 
     /// Whether the other process has stopped reading, or sends a line without an end.
@@ -294,8 +294,11 @@
 /// The Unix socket at which the process that serves an address is found by its successor; `None` for an address that
 /// the system chooses, which no second process could name.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
+    if listen.port() == 0 {
+        return None;
+    }
     let name = format!("postusher-{}-{}.sock", listen.ip(), listen.port()).replace(':', "_");
-    (listen.port() != 0).then(|| std::env::temp_dir().join(name))
+    Some(std::env::temp_dir().join(name))
 }
 
 #[cfg(test)]
--- a/crates/node/src/upgrade_protocol/tests.rs
+++ b/crates/node/src/upgrade_protocol/tests.rs
@@ -1,10 +1,14 @@
 //! Messages of an upgrade in pieces, of older versions and without an end.
 
-use super::*;
+use super::{
+    class_estimates, socket_path, AdminRequest, JobEnd, JobEndStatus, LearnedSnapshot, LearnedState, Link,
+    Message, MigratedAttempt, MigratedConnection, MigratedDeferral, MigratedJob, SchedulerState,
+    WorkerHistory, WorkerId, MAX_QUEUED_BYTES,
+};
 
 #[test]
 fn messages_come_through_in_pieces_of_any_size_and_unreadable_ones_are_left_out() {
-    let told = [
+    let sent = [
         Message::State(SchedulerState {
             disabled_workers: vec!["s-1".into()],
             draining: true,
@@ -41,17 +45,19 @@
     ];
     let mut from = Link::default();
     from.outbox.put(b"{\"of a later version\":1}\n");
-    told.iter().for_each(|message| from.send(message));
+    for message in &sent {
+        from.send(message);
+    }
     for size in 1..50 {
         let mut to = Link::default();
-        let heard: Vec<_> = from.outbox.unsent().chunks(size).flat_map(|part| to.receive(part)).collect();
-        assert_eq!(heard, told);
+        let received: Vec<_> = from.outbox.unsent().chunks(size).flat_map(|part| to.receive(part)).collect();
+        assert_eq!(received, sent);
     }
 }
 
 #[test]
-fn what_was_learned_comes_through_whole_with_targets_by_name() {
-    let health = WorkerHistory {
+fn learned_state_arrives_whole_with_workers_by_name() {
+    let history = WorkerHistory {
         max_free_slots: 5,
         foreign_slots: 0.5,
         report_age: Some(9),
@@ -59,41 +65,43 @@
         ejected_for: 7,
         consecutive_ejections: 2,
     };
-    let memory = LearnedState {
+    let state = LearnedState {
         fleet_means: vec![Some(1.5), None],
         queueing_delay: 2.5,
         recent_scores: vec![0.5, -0.5],
         classes: vec![class_estimates((Some(0.1), None, 0.2))],
         kinds: vec![(1, Some(0.3))],
         quota_balances: vec![1.5, -2.0],
-        workers: vec![(WorkerId(7), health), (WorkerId(8), health)],
+        workers: vec![(WorkerId(7), history), (WorkerId(8), history)],
     };
-    let learned = LearnedSnapshot::new(memory.clone(), |id| (id.0 == 7).then(|| "s-7".to_string()));
+    let learned = LearnedSnapshot::new(state.clone(), |id| (id.0 == 7).then(|| "s-7".to_string()));
     let mut older = serde_json::to_value(&learned).unwrap();
     older.as_object_mut().unwrap().remove("accounts");
     let older: LearnedSnapshot = serde_json::from_value(older).unwrap();
     assert!(
         older.into_state(|_| WorkerId(7)).quota_balances.is_empty(),
-        "a version before customers is understood"
+        "a message of a version before customers is read"
     );
     let (mut from, mut to) = (Link::default(), Link::default());
     from.send(&Message::Learned(learned));
-    let Some(Message::Learned(heard)) = to.receive(from.outbox.unsent()).pop() else { panic!() };
-    let known = LearnedState { workers: vec![(WorkerId(7), health)], ..memory };
-    assert_eq!(heard.into_state(|name| WorkerId(u32::from(name == "s-7") * 7)), known);
+    let Some(Message::Learned(received)) = to.receive(from.outbox.unsent()).pop() else { panic!() };
+    let expected = LearnedState { workers: vec![(WorkerId(7), history)], ..state };
+    assert_eq!(received.into_state(|name| WorkerId(u32::from(name == "s-7") * 7)), expected);
 }
 
 #[test]
-fn a_peer_that_does_not_read_or_never_ends_its_line_is_stuck() {
+fn a_link_is_stuck_if_the_other_process_does_not_read_or_never_ends_its_line() {
     let (mut silent, mut endless) = (Link::default(), Link::default());
     assert!(!silent.is_stuck() && endless.receive(b"{").is_empty());
-    (0..3).for_each(|_| silent.send(&Message::JobStatus("x".repeat(MAX_QUEUED_BYTES / 2))));
+    for _ in 0..3 {
+        silent.send(&Message::JobStatus("x".repeat(MAX_QUEUED_BYTES / 2)));
+    }
     endless.receive(&vec![b'x'; MAX_QUEUED_BYTES]);
     assert!(silent.is_stuck() && endless.is_stuck());
 }
 
 #[test]
-fn an_address_has_one_meeting_place_and_one_left_to_the_system_has_none() {
+fn each_address_has_its_socket_path_and_one_chosen_by_the_system_has_none() {
     let at = |port| socket_path(([127, 0, 0, 1], port).into());
     assert!(at(8080) == at(8080) && at(8080) != at(8081) && at(0).is_none());
 }
