--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,55 +1,68 @@
-//! The operators' address: what a call there asks for, read from HTTP to a [`AdminRequest`] that is neutral to it.
+//! The requests of the admin interface, read from HTTP into an [`AdminRequest`] that is neutral to it.
 
 use crate::http::RequestLine;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// What operators' staff may ask of a running scheduler. Each may come twice and means the same then.
+const GET: &str = "GET";
+const PUT: &str = "PUT";
+
+/// What operators can request from a running scheduler. Each request can be repeated without a further effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
 pub enum AdminRequest {
     /// Whether this process takes clients.
+    #[serde(rename = "healthcheck")]
     Healthcheck,
     /// The metrics.
+    #[serde(rename = "stats")]
     Stats,
-    /// What is believed of other schedulers.
+    /// What this scheduler knows about other members.
+    #[serde(rename = "members")]
     Members,
-    /// Send a target nothing new, until it is taken back.
+    /// Send a worker nothing new until it is enabled.
     #[serde(rename = "take_out")]
     DisableWorker(String),
-    /// Use a target again.
+    /// Send a worker jobs again.
     #[serde(rename = "take_back")]
     EnableWorker(String),
     /// Send clients away.
+    #[serde(rename = "drain")]
     Drain,
     /// Take clients again.
+    #[serde(rename = "end_drain")]
     EndDrain,
 }
 
-/// Why a call is answered with no.
-#[derive(Debug, PartialEq)]
+/// Why a request is not accepted.
+#[derive(Clone, Copy, Debug, Error, PartialEq)]
 pub enum AdminError {
-    /// There is nothing of that name.
+    /// The path does not exist.
+    #[error("there is no such path")]
     NotFound,
-    /// It is there, and takes this method.
+    /// The path exists and takes only this method.
+    #[error("the path takes only {0}")]
     MethodNotAllowed(&'static str),
 }
 
-/// Reads a call.
+/// Reads a request.
+///
+/// # Errors
+/// The path does not exist or takes another method.
 pub fn read(line: &RequestLine) -> Result<AdminRequest, AdminError> {
     let path = line.target.split('?').next().unwrap_or("");
-    let parts: Vec<&str> = path.split('/').collect();
-    let (method, call) = match parts[..] {
-        ["", "healthcheck"] => ("GET", AdminRequest::Healthcheck),
-        ["", "stats"] => ("GET", AdminRequest::Stats),
-        ["", "members"] => ("GET", AdminRequest::Members),
-        ["", "workers", id, "maint"] => ("PUT", AdminRequest::DisableWorker(id.to_string())),
-        ["", "workers", id, "ready"] => ("PUT", AdminRequest::EnableWorker(id.to_string())),
-        ["", "healthcheck", "fail"] => ("PUT", AdminRequest::Drain),
-        ["", "healthcheck", "ok"] => ("PUT", AdminRequest::EndDrain),
+    let segments: Vec<&str> = path.split('/').collect();
+    let (method, request) = match segments[..] {
+        ["", "healthcheck"] => (GET, AdminRequest::Healthcheck),
+        ["", "stats"] => (GET, AdminRequest::Stats),
+        ["", "members"] => (GET, AdminRequest::Members),
+        ["", "workers", name, "maint"] => (PUT, AdminRequest::DisableWorker(name.to_string())),
+        ["", "workers", name, "ready"] => (PUT, AdminRequest::EnableWorker(name.to_string())),
+        ["", "healthcheck", "fail"] => (PUT, AdminRequest::Drain),
+        ["", "healthcheck", "ok"] => (PUT, AdminRequest::EndDrain),
         _ => return Err(AdminError::NotFound),
     };
     if line.method == method {
-        Ok(call)
+        Ok(request)
     } else {
         Err(AdminError::MethodNotAllowed(method))
     }
--- a/crates/node/src/admin/tests.rs
+++ b/crates/node/src/admin/tests.rs
@@ -1,7 +1,8 @@
-use super::*;
+use super::{read, AdminError, AdminRequest};
+use crate::http::RequestLine;
 
 #[test]
-fn calls_are_read_and_what_is_none_says_why() {
+fn requests_are_read_and_others_are_errors() {
     let read = |text: &str| {
         let (method, target) = text.split_once(' ').unwrap();
         read(&RequestLine { method: method.into(), target: target.into() })
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -4,36 +4,54 @@
 use crate::http;
 use crate::metrics::FinalStatus;
 
-/// A request's final answer.
+const RETRY_AFTER_HEADER: &str = "Retry-After";
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+/// The final answer of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// What a worker made for it.
+    /// A worker's result.
     Served(Vec<u8>),
-    /// Rejected without effect: a retry is harmless after so long (0: no advice).
-    Rejected { retry_after: Millis },
-    /// It failed.
+    /// Rejected without effect, so that a retry is harmless.
+    Rejected {
+        /// The time after which to retry; 0 gives no advice.
+        retry_after: Millis,
+    },
+    /// Failed, with no promise about effects except where the failure says so.
     Failed(Failure),
 }
 
-/// Why a request failed.
+/// Why a job failed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Failure {
     /// No worker answered before its deadline.
     DeadlineExceeded,
-    /// Workers agree that it cannot be run.
+    /// Workers rejected it as one that cannot be run.
     Unprocessable,
-    /// No attempt has brought a result.
+    /// No attempt brought a result.
     AttemptsFailed,
     /// A job that it depends on did not end as required; it was never sent.
     DependencyFailed,
     /// It depends on itself; it was never sent.
     DependencyCycle,
-    /// Its start lies after its deadline; it was never sent.
+    /// Its earliest start lies after its deadline; it was never sent.
     StartAfterDeadline,
 }
 
 impl Failure {
-    /// What a client is told besides the status, where the status alone could mean other things, too.
+    /// The HTTP status that a client gets.
+    fn status(self) -> u16 {
+        match self {
+            Failure::DeadlineExceeded => 504,
+            Failure::Unprocessable => 400,
+            Failure::AttemptsFailed => 502,
+            Failure::DependencyFailed => 424,
+            Failure::DependencyCycle => 409,
+            Failure::StartAfterDeadline => 400,
+        }
+    }
+
+    /// What a client gets beside the status, where the status could mean something else, too.
     fn text(self) -> &'static str {
         match self {
             Failure::DeadlineExceeded | Failure::Unprocessable | Failure::AttemptsFailed => "",
@@ -45,7 +63,7 @@
 }
 
 impl Answer {
-    /// What it counts as.
+    /// How the job counts in the metrics.
     pub fn kind(&self) -> FinalStatus {
         match self {
             Answer::Served(_) => FinalStatus::Served,
@@ -54,26 +72,17 @@
         }
     }
 
-    /// The answer in HTTP.
+    /// The answer in HTTP, on a connection that stays open or not.
     pub fn bytes(&self, keep_alive: bool) -> Vec<u8> {
         match self {
             Answer::Served(result) => http::response(200, &[], result, keep_alive),
-            Answer::Rejected { retry_after } => {
-                let seconds = format!("{:.3}", retry_after / 1e3);
-                let advice = [("Retry-After", seconds)];
-                let headers: &[_] = if *retry_after > 0.0 { &advice } else { &[] };
-                http::response(503, headers, b"", keep_alive)
+            Answer::Rejected { retry_after } if *retry_after > 0.0 => {
+                let seconds = format!("{:.3}", retry_after / MILLIS_PER_SECOND);
+                http::response(503, &[(RETRY_AFTER_HEADER, seconds)], b"", keep_alive)
             }
-            Answer::Failed(why) => {
-                let status = match why {
-                    Failure::DeadlineExceeded => 504,
-                    Failure::Unprocessable => 400,
-                    Failure::AttemptsFailed => 502,
-                    Failure::DependencyFailed => 424,
-                    Failure::DependencyCycle => 409,
-                    Failure::StartAfterDeadline => 400,
-                };
-                http::response(status, &[], why.text().as_bytes(), keep_alive)
+            Answer::Rejected { .. } => http::response(503, &[], b"", keep_alive),
+            Answer::Failed(failure) => {
+                http::response(failure.status(), &[], failure.text().as_bytes(), keep_alive)
             }
         }
     }
--- a/crates/node/src/answer/tests.rs
+++ b/crates/node/src/answer/tests.rs
@@ -1,10 +1,10 @@
-use super::*;
+use super::{Answer, Failure};
 
 #[test]
-fn only_a_refusal_says_that_trying_again_is_harmless() {
+fn only_a_rejection_says_that_a_retry_is_harmless() {
     let text = |answer: Answer| String::from_utf8(answer.bytes(false)).unwrap();
-    let refused = text(Answer::Rejected { retry_after: 120.0 });
-    assert!(refused.starts_with("HTTP/1.1 503 ") && refused.contains("Retry-After: 0.120\r\n"));
+    let rejected = text(Answer::Rejected { retry_after: 120.0 });
+    assert!(rejected.starts_with("HTTP/1.1 503 ") && rejected.contains("Retry-After: 0.120\r\n"));
     assert!(!text(Answer::Rejected { retry_after: 0.0 }).contains("Retry-After"));
     assert!(text(Answer::Failed(Failure::DeadlineExceeded)).starts_with("HTTP/1.1 504 "));
     assert!(text(Answer::Failed(Failure::AttemptsFailed)).starts_with("HTTP/1.1 502 "));
--- a/crates/node/src/clock/tests.rs
+++ b/crates/node/src/clock/tests.rs
@@ -1,18 +1,20 @@
-use super::*;
+use super::{Clock, Timers};
 use std::cell::Cell;
 use std::rc::Rc;
 
 #[test]
-fn timers_come_due_in_order_and_not_early() {
+fn timers_expire_in_order_and_not_early() {
     let mut timers = Timers::new();
-    [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (1.5, 'b')].into_iter().for_each(|(at, c)| timers.set(at, c));
+    for (at, value) in [(5.0, 'c'), (1.0, 'a'), (5.0, 'd'), (1.5, 'b')] {
+        timers.set(at, value);
+    }
     assert_eq!((timers.due(0.9), timers.next()), (None, Some(1.0)));
-    let due: String = std::iter::from_fn(|| timers.due(5.0)).collect();
-    assert_eq!(due, "abcd");
+    let expired: String = std::iter::from_fn(|| timers.due(5.0)).collect();
+    assert_eq!(expired, "abcd");
 }
 
 #[test]
-fn the_system_clock_is_unix_time_and_goes_on() {
+fn the_system_clock_is_unix_time_and_moves_forward() {
     let clock = Clock::system();
     let first = clock.now();
     assert!(first > 1.6e12 && clock.now() >= first);
--- a/crates/node/src/config/tests.rs
+++ b/crates/node/src/config/tests.rs
@@ -1,5 +1,7 @@
-use super::*;
+use super::{admin_address, Config};
 use serde_json::json;
+use std::net::SocketAddr;
+use std::path::Path;
 
 /// A configuration as the deployment writes it.
 pub fn sample() -> serde_json::Value {
@@ -20,21 +22,22 @@
             "Specifics": {"ReportX0": "free slots"}}})
 }
 
-/// The sample, read.
+/// The configuration of [`sample`].
 pub fn config() -> Config {
     Config::read(sample().to_string().as_bytes()).unwrap()
 }
 
 #[test]
-fn a_configuration_is_read_whole() {
-    let c = config();
-    assert_eq!((c.name.as_str(), c.seed, c.sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 128));
-    assert_eq!((c.site.classes[1].name.as_str(), c.known.entries.len()), ("fund", 1));
-    assert!(c.mgmt.is_none()); // older deployments have none
+fn a_configuration_is_read_with_all_its_values() {
+    let config = config();
+    assert_eq!((config.name.as_str(), config.seed, config.sockets), ("n3", 0x8c1f_30d2_7a5b_e964, 128));
+    assert_eq!((config.site.classes[1].name.as_str(), config.known.entries.len()), ("fund", 1));
+    // Older deployments have no admin interface.
+    assert!(config.mgmt.is_none());
 }
 
 #[test]
-fn the_operators_address_is_the_files_or_else_the_environments() {
+fn the_admin_address_comes_from_the_file_or_else_from_the_environment() {
     let mut file = sample();
     file["mgmt"] = json!("127.0.0.1:9100");
     let addr = Some(SocketAddr::from(([127, 0, 0, 1], 9100)));
@@ -45,15 +48,15 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_in_one_line() {
-    let broken = [
+fn a_mistake_is_reported_in_one_line() {
+    let mistakes = [
         ("listen", json!("here")),
         ("seed", json!("xyz")),
         ("settings", json!({})),
         ("limits", json!({"sockets": 3})),
         ("known", json!(7)),
     ];
-    for (key, value) in broken {
+    for (key, value) in mistakes {
         let mut file = sample();
         file[key] = value;
         let error = Config::read(file.to_string().as_bytes()).err().unwrap().to_string();
@@ -64,7 +67,7 @@
 }
 
 #[test]
-fn a_list_that_is_not_there_is_an_empty_one() {
+fn a_missing_endpoint_list_is_an_empty_one() {
     let mut file = sample();
     file.as_object_mut().unwrap().remove("known");
     assert!(Config::read(file.to_string().as_bytes()).unwrap().known.entries.is_empty());
--- a/crates/node/src/connection_id.rs
+++ b/crates/node/src/connection_id.rs
@@ -1,24 +1,22 @@
-//! The name of a connection, for those that speak of connections without having them.
+//! Ids of connections, for modules that refer to connections without owning them.
 
-/// Names a connection for as long as it lives; its slot may be used again by another.
+/// Identifies a connection. Its slot may be used again by another connection, which has another serial number then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId {
-    /// Where the event loop keeps it.
+    /// Where the event loop keeps the connection.
     pub slot: usize,
     /// See [`ConnectionId::number`].
     pub serial: u64,
 }
 
 impl ConnectionId {
-    /// A number that no other connection of this process ever has.
+    /// A number that no other connection of this process has.
     pub fn number(self) -> u64 {
         self.serial
     }
-}
 
-#[cfg(test)]
-impl ConnectionId {
-    /// A key where there are no sockets.
+    /// The id of a connection without a socket.
+    #[cfg(test)]
     pub fn test(serial: u64) -> ConnectionId {
         ConnectionId { slot: 0, serial }
     }
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -190,7 +190,7 @@
             log::debug!(
                 "attempt denied: trace_id={trace_id} attempt={attempt_id} worker={worker} reason={denial:?}"
             );
-            self.metrics.denied[denial as usize] += 1;
+            self.metrics.attempt_denied(denial);
             return None;
         }
         log::debug!(
--- a/crates/node/src/drain.rs
+++ b/crates/node/src/drain.rs
@@ -1,144 +1,169 @@
-//! Sending clients away: for good after SIGTERM (serve on for a while, finish what was taken, go), and at an
-//! operator's call until the next.
-
-use crate::clock::Millis;
-
-/// A planned restart leaves this long for the longest deadline, at most, before the process is killed ...
-const LONGEST: Millis = 3_000.0;
-/// ... and this long besides.
-const BESIDES: Millis = 700.0;
-/// What is still open this long before that is given up, while its answer can still get out.
-const MARGIN: Millis = 100.0;
-/// The part of it all in which connections stay open. Guards against: clients that are sent away while no other
-/// scheduler takes them, as when the one before in a rolling restart is not yet back.
+//! Sending clients away: for good after SIGTERM (keep serving for a while, finish the pending jobs, exit), and by an
+//! operator's request until another one ends it.
+
+use crate::clock::{earliest, Millis};
+
+/// A planned restart waits this long, at most, for the longest deadline of a job, and ...
+const MAX_RESTART_WAIT: Millis = 3_000.0;
+/// ... this long in addition, before it kills the process.
+const EXTRA_RESTART_WAIT: Millis = 700.0;
+/// What is still open this long before that is given up, so that its answer can still be sent.
+const ANSWER_MARGIN: Millis = 100.0;
+/// The part of a shutdown in which connections stay open. In a rolling restart, the scheduler that restarted before may
+/// not be back yet to take the clients.
 const OPEN_PART: f64 = 0.55;
+/// The same part during an upgrade, where the successor takes clients. Active clients are told to open other
+/// connections, and few are left whose next request could cross the end of theirs.
+const OPEN_PART_WITH_SUCCESSOR: f64 = 0.85;
+/// The load balancer in front checks the health every 100 ms and sends nobody 200 ms after a failed check. For this long
+/// after a request to drain, a client that is sent away could come back to this scheduler.
+const NOTICE_TIME: Millis = 400.0;
+/// The time for which open connections are served after a request to drain. None may be idle 2 s after it.
+const SERVING_TIME: Millis = 1_500.0;
+
+/// Whether the scheduler sends clients away. There are two reasons, which can coincide: a shutdown, which cannot be
+/// undone, and a drain by an operator.
+pub struct Drain {
+    /// The duration of a shutdown.
+    shutdown_duration: Millis,
+    shutdown_started: Option<Millis>,
+    operator_drain: Option<OperatorDrain>,
+    /// A successor takes clients in place of this process.
+    has_successor: bool,
+}
 
-/// The same where a newer process takes clients: those that use a connection are told to open another, and few are
-/// left whose next request could cross its end.
-const SUCCEEDED_PART: f64 = 0.85;
-/// The front asks every 100 ms and sends nobody new 200 ms after a no: so long after an operator's call, a client sent
-/// away could come back to here.
-const UNNOTICED: Millis = 400.0;
-/// After an operator's call open connections are served for so long; 2 s after it none may stand idle.
-const SERVED_ON: Millis = 1_500.0;
+#[derive(Clone, Copy)]
+struct OperatorDrain {
+    started: Millis,
+    origin: DrainOrigin,
+}
 
-/// Whether the scheduler sends clients away, for one cause or two: SIGTERM, which nothing undoes, and an operator's call.
-pub struct Drain {
-    lasts: Millis,
-    since: Option<Millis>,
-    called: Option<Millis>,
-    /// The call came to the other process of an upgrade.
-    inherited: bool,
-    /// A newer process takes clients in the place of this one.
-    successor: bool,
+/// Which process of an upgrade got an operator's request to drain.
+#[derive(Clone, Copy, PartialEq)]
+enum DrainOrigin {
+    ThisProcess,
+    OtherProcess,
 }
 
 impl Drain {
-    /// The way out of a scheduler whose clients wait so long at most.
-    pub fn new(longest: Millis) -> Self {
+    /// Not draining. `longest_deadline` is the longest time that a client may wait for its answer.
+    pub fn new(longest_deadline: Millis) -> Self {
         Drain {
-            lasts: longest.min(LONGEST) + BESIDES - MARGIN,
-            since: None,
-            called: None,
-            inherited: false,
-            successor: false,
+            shutdown_duration: longest_deadline.min(MAX_RESTART_WAIT) + EXTRA_RESTART_WAIT - ANSWER_MARGIN,
+            shutdown_started: None,
+            operator_drain: None,
+            has_successor: false,
         }
     }
 
     /// SIGTERM has come; a second one changes nothing.
     pub fn start_shutdown(&mut self, now: Millis) {
-        self.since.get_or_insert(now);
+        self.shutdown_started.get_or_insert(now);
     }
 
-    /// An operator sends clients away; a second call changes nothing.
+    /// An operator requests a drain; a second request changes nothing.
     pub fn start_by_operator(&mut self, now: Millis) {
-        self.called.get_or_insert(now);
-        self.inherited = false;
+        let started = self.operator_drain.map_or(now, |drain| drain.started);
+        self.operator_drain = Some(OperatorDrain { started, origin: DrainOrigin::ThisProcess });
     }
 
-    /// An operator has sent clients away from the other process of an upgrade. What was said here counts for more.
+    /// An operator has requested a drain from the other process of an upgrade. A request to this process takes
+    /// precedence.
     pub fn start_inherited(&mut self, now: Millis) {
-        if self.called.is_none() {
-            (self.called, self.inherited) = (Some(now), true);
-        }
+        let inherited = OperatorDrain { started: now, origin: DrainOrigin::OtherProcess };
+        self.operator_drain.get_or_insert(inherited);
     }
 
-    /// A newer process takes clients in the place of this one, or does so no more.
-    pub fn set_successor(&mut self, by_newer: bool) {
-        self.successor = by_newer;
+    /// A successor takes clients in place of this process, or no longer does.
+    pub fn set_successor(&mut self, has_successor: bool) {
+        self.has_successor = has_successor;
     }
 
-    /// Whether a newer process takes clients.
+    /// Whether a successor takes clients in place of this process.
     pub fn has_successor(&self) -> bool {
-        self.successor
+        self.has_successor
     }
 
-    /// An operator lets clients come again, however far the drain has come. The way out goes on.
+    /// An operator ends the drain, however far it has come. A shutdown continues.
     pub fn cancel_by_operator(&mut self) {
-        self.called = None;
+        self.operator_drain = None;
     }
 
-    /// Whether clients are sent away. On the way out of an upgrade they are not: the scheduler takes them.
+    /// Whether clients are sent away. A shutdown during an upgrade sends nobody away, as the successor takes the clients.
     pub fn is_on(&self) -> bool {
-        self.since.is_some() && !self.successor || self.called.is_some()
+        let shuts_down_for_good = self.is_shutting_down() && !self.has_successor;
+        shuts_down_for_good || self.is_operator_drain()
     }
 
-    /// Whether an operator sends clients away.
+    /// Whether an operator drains this scheduler.
     pub fn is_operator_drain(&self) -> bool {
-        self.called.is_some()
+        self.operator_drain.is_some()
     }
 
-    /// Whether the process is fit to take clients. A drain taken over does not count here, as an upgrade in a drain
-    /// would never end.
+    /// Whether the process is fit to take clients. An inherited drain does not count, as an upgrade during a drain would
+    /// never end.
     pub fn is_healthy(&self) -> bool {
-        self.since.is_none() && (self.called.is_none() || self.inherited)
+        let drained_here = self.operator_drain.is_some_and(|drain| drain.origin == DrainOrigin::ThisProcess);
+        !self.is_shutting_down() && !drained_here
     }
 
     /// Whether SIGTERM has come.
     pub fn is_shutting_down(&self) -> bool {
-        self.since.is_some()
+        self.shutdown_started.is_some()
     }
 
-    /// When connections without work are closed; on the way out the program may end then, once no work is left.
+    /// When connections without pending jobs are closed; a process that shuts down may exit then, once no job is pending.
     pub fn closes_idle_at(&self) -> Option<Millis> {
-        let part = if self.successor { SUCCEEDED_PART } else { OPEN_PART };
-        let leaving = self.since.map(|since| since + self.lasts * part);
-        leaving.into_iter().chain(self.called.map(|called| called + SERVED_ON)).reduce(f64::min)
+        let open_part = if self.has_successor { OPEN_PART_WITH_SUCCESSOR } else { OPEN_PART };
+        let by_shutdown = self.shutdown_started.map(|started| started + self.shutdown_duration * open_part);
+        earliest([by_shutdown, self.operator_deadline(SERVING_TIME)])
     }
 
-    /// Whether connections are closed by now.
+    /// The time at which an operator's drain has lasted for this long.
+    fn operator_deadline(&self, duration: Millis) -> Option<Millis> {
+        self.operator_drain.map(|drain| drain.started + duration)
+    }
+
+    /// Whether connections without pending jobs are closed by now.
     pub fn closes_idle(&self, now: Millis) -> bool {
-        self.closes_idle_at().is_some_and(|at| now >= at)
+        has_passed(self.closes_idle_at(), now)
     }
 
-    /// Whether the program may end once no work is left. Guards against: an end right after SIGTERM, as a drain by call was far on
-    /// already, while new connections still come.
+    /// Whether the process may exit once no job is pending. After SIGTERM it waits until the load balancer has noticed,
+    /// even if an operator's drain has closed all connections before: new ones may still come.
     pub fn may_exit(&self, now: Millis) -> bool {
-        self.since.is_some_and(|since| now >= since + UNNOTICED) && self.closes_idle(now)
+        let noticed_at = self.shutdown_started.map(|started| started + NOTICE_TIME);
+        has_passed(noticed_at, now) && self.closes_idle(now)
     }
 
-    /// Whether the time for all that is still open is over.
+    /// Whether the time is over for all that is still open.
     pub fn is_past_deadline(&self, now: Millis) -> bool {
-        self.shutdown_deadline().is_some_and(|end| now >= end)
+        has_passed(self.shutdown_deadline(), now)
     }
 
-    /// Whether connections outlive their answers; one that turns a client away is to end its connection sooner, so
-    /// that the client does not come back to here at once.
+    /// Whether a connection stays open after an answer. `turned_away`: the answer sends the client away; its connection
+    /// is closed sooner, so that the client does not come back to this process at once.
     pub fn keeps_connections(&self, now: Millis, turned_away: bool) -> bool {
-        let noticed = self.called.is_some_and(|called| now >= called + UNNOTICED);
-        !(noticed || self.successor || self.closes_idle(now) || self.is_on() && turned_away)
+        let drain_noticed = has_passed(self.operator_deadline(NOTICE_TIME), now);
+        let sent_away = self.is_on() && turned_away;
+        !drain_noticed && !self.has_successor && !self.closes_idle(now) && !sent_away
     }
 
-    /// Whether jobs are turned away: an operator wants no work here, and the time for open connections is over.
+    /// Whether jobs are rejected, as an operator drains this scheduler and the time for open connections is over.
     pub fn rejects_jobs(&self, now: Millis) -> bool {
-        self.called.is_some_and(|called| now >= called + SERVED_ON)
+        has_passed(self.operator_deadline(SERVING_TIME), now)
     }
 
-    /// By when what comes after SIGTERM must have its answer.
+    /// When jobs that arrive during the shutdown must have their answers.
     pub fn shutdown_deadline(&self) -> Option<Millis> {
-        self.since.map(|since| since + self.lasts)
+        self.shutdown_started.map(|started| started + self.shutdown_duration)
     }
 }
 
+/// Whether a time has come; one that is not set never comes.
+fn has_passed(time: Option<Millis>, now: Millis) -> bool {
+    time.is_some_and(|time| now >= time)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/node/src/drain/tests.rs
+++ b/crates/node/src/drain/tests.rs
@@ -1,7 +1,7 @@
-use super::*;
+use super::Drain;
 
 #[test]
-fn it_serves_on_for_over_half_the_time_left_from_the_first_signal() {
+fn a_shutdown_keeps_serving_for_over_half_of_its_time_from_the_first_signal() {
     let mut drain = Drain::new(20_000.0);
     assert!(!drain.is_on() && !drain.closes_idle(1e9));
     drain.start_shutdown(100.0);
@@ -14,17 +14,18 @@
 }
 
 #[test]
-fn a_drain_by_call_serves_on_for_over_a_second_ends_within_two_and_is_undone_at_any_stage() {
+fn an_operator_drain_serves_for_over_a_second_ends_within_two_and_can_be_cancelled_at_any_stage() {
     let mut drain = Drain::new(20_000.0);
     drain.start_by_operator(100.0);
-    drain.start_by_operator(1_000.0); // a second call puts nothing off
+    // A second request delays nothing.
+    drain.start_by_operator(1_000.0);
     assert!(
         drain.is_on()
             && !drain.is_shutting_down()
             && drain.keeps_connections(100.0, false)
             && !drain.keeps_connections(100.0, true)
     );
-    // The front needs 300 ms to notice; a client whose connection ended before that might come back.
+    // The load balancer needs 300 ms to notice; a client whose connection ended before that might come back.
     assert!(drain.keeps_connections(100.0 + 300.0, false) && !drain.keeps_connections(100.0 + 500.0, false));
     assert!(!drain.rejects_jobs(1_200.0) && !drain.closes_idle(1_200.0));
     assert!(drain.rejects_jobs(2_000.0) && drain.closes_idle(2_000.0) && !drain.may_exit(1e9));
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn sigterm_late_in_a_drain_by_call_leaves_time_for_connections_that_still_come() {
+fn sigterm_late_in_an_operator_drain_leaves_time_for_new_connections() {
     let mut drain = Drain::new(20_000.0);
     drain.start_by_operator(0.0);
     assert!(!drain.may_exit(60_000.0));
@@ -48,23 +49,24 @@
 }
 
 #[test]
-fn with_a_successor_the_way_out_sends_nobody_away_and_closes_late() {
+fn a_shutdown_with_a_successor_sends_nobody_away_and_closes_connections_late() {
     let mut drain = Drain::new(20_000.0);
     drain.set_successor(true);
     assert!(!drain.is_on() && !drain.keeps_connections(0.0, false) && drain.closes_idle_at().is_none());
     drain.start_shutdown(100.0);
     assert!(!drain.is_on() && !drain.is_healthy() && !drain.may_exit(3_000.0) && drain.may_exit(3_200.0));
-    // Should the successor die, this is a way out like any other.
+    // If the successor dies, this is a shutdown like any other.
     drain.set_successor(false);
     assert!(drain.is_on() && drain.may_exit(2_100.0));
 }
 
 #[test]
-fn a_drain_taken_over_lasts_and_leaves_the_new_process_fit() {
+fn an_inherited_drain_continues_and_leaves_the_new_process_healthy() {
     let mut drain = Drain::new(20_000.0);
     drain.start_inherited(0.0);
     assert!(drain.is_on() && drain.is_operator_drain() && drain.is_healthy());
-    drain.start_by_operator(10.0); // now it was told itself
+    // Now this process has got a request itself.
+    drain.start_by_operator(10.0);
     drain.start_inherited(20.0);
     assert!(!drain.is_healthy() && drain.rejects_jobs(2_000.0));
 }
--- a/crates/node/src/intake/tests.rs
+++ b/crates/node/src/intake/tests.rs
@@ -1,25 +1,25 @@
-use super::*;
+use super::{millis, read, IncomingRequest, Job, UNKNOWN_CUSTOMER};
 use crate::config::tests::config;
 use crate::http::Decoder;
 
-/// Reads a whole message.
-pub fn ask(text: &str) -> IncomingRequest {
+/// Reads a complete request, where jobs can be deferred.
+pub fn request_of(text: &str) -> IncomingRequest {
     let mut decoder = Decoder::new();
     decoder.feed(text.as_bytes());
     read(decoder.next().unwrap().unwrap(), &config().site, true)
 }
 
-/// A job from a message, or its status.
+/// The job of a request, or the status that the request gets.
 pub fn job_of(text: &str) -> Result<Job, u16> {
-    match ask(text) {
+    match request_of(text) {
         IncomingRequest::Job(job) => Ok(*job),
         IncomingRequest::Invalid(status) => Err(status),
-        _ => panic!("neither a job nor wrong"),
+        _ => panic!("another kind of request"),
     }
 }
 
 #[test]
-fn a_job_is_read_with_all_its_figures() {
+fn a_job_is_read_with_all_its_values() {
     let job = job_of(
         "POST /fund/x?y=1 HTTP/1.1\r\nX-Trace-Id: 9b1f\r\nX-Qos: fund\r\nX-Object: 7f3a9c21e0b4d655\r\n\
          Idempotency-Key: k\r\nX-Expires-In: 480m\r\nX-Size-Hint: 2500\r\nX-Props: slots=4,memory=0.5\r\nContent-Length: 2\r\n\r\nab",
@@ -31,20 +31,24 @@
 }
 
 #[test]
-fn a_customer_is_found_by_its_name_and_one_that_nobody_knows_is_taken_all_the_same() {
-    let of = |header: &str| {
+fn jobs_of_unknown_customers_are_accepted() {
+    let customer_of = |header: &str| {
         job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{header}\r\n")).map(|job| job.customer)
     };
-    assert_eq!((of("X-Customer: zeta\r\n"), of("X-Customer: acme\r\n")), (Ok(1), Ok(0)));
+    assert_eq!((customer_of("X-Customer: zeta\r\n"), customer_of("X-Customer: acme\r\n")), (Ok(1), Ok(0)));
     assert_eq!(
-        (of("X-Customer: nobody\r\n"), of(""), of("X-Customer:\r\n")),
+        (customer_of("X-Customer: nobody\r\n"), customer_of(""), customer_of("X-Customer:\r\n")),
         (Ok(UNKNOWN_CUSTOMER), Ok(UNKNOWN_CUSTOMER), Ok(UNKNOWN_CUSTOMER))
     );
-    assert_eq!(of("X-Customer: zeta\r\nX-Customer: acme\r\n"), Err(400), "two names buy no second share");
+    assert_eq!(
+        customer_of("X-Customer: zeta\r\nX-Customer: acme\r\n"),
+        Err(400),
+        "two names give no second quota"
+    );
 }
 
 #[test]
-fn what_a_target_gets_is_what_the_client_sent() {
+fn a_worker_gets_what_the_client_sent() {
     let job = job_of(
         "POST /render/a?b=%20c HTTP/1.1\r\nHost: o.svc\r\nX-Trace-Id: t1\r\nIdempotency-Key: k\r\n\
          X-Expires-In: 480m\r\nConnection: keep-alive, X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n",
@@ -57,7 +61,7 @@
 }
 
 #[test]
-fn what_is_no_job_gets_its_status_and_goes_nowhere() {
+fn a_malformed_request_gets_its_status() {
     let cases = [
         ("POST /nothing HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n", 404),
         ("GET /render HTTP/1.1\r\n\r\n", 405),
@@ -88,7 +92,7 @@
     for (text, status) in cases {
         assert_eq!(job_of(text).err(), Some(status), "{text}");
     }
-    assert!(matches!(ask("GET /up HTTP/1.1\r\n\r\n"), IncomingRequest::Readiness));
-    assert!(matches!(ask("POST /_jobs/news HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
-    assert!(matches!(ask("POST /_jobs/news?again=1 HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
+    assert!(matches!(request_of("GET /up HTTP/1.1\r\n\r\n"), IncomingRequest::Readiness));
+    assert!(matches!(request_of("POST /_jobs/news HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
+    assert!(matches!(request_of("POST /_jobs/news?again=1 HTTP/1.1\r\n\r\n"), IncomingRequest::JobStatus(_)));
 }
--- a/crates/node/src/invariant.rs
+++ b/crates/node/src/invariant.rs
@@ -1,21 +1,21 @@
-//! What must hold: asserted in debug builds, counted in release builds.
+//! Invariants: asserted in debug builds, counted in release builds.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The things that must hold.
+/// What must hold at all times.
 #[derive(Clone, Copy, Debug)]
 pub enum Invariant {
-    /// The module answers every request by its deadline; else the scheduler fails it.
+    /// The decision module answers every job by its deadline; otherwise the scheduler fails the job.
     AnsweredInTime,
-    /// An attempt goes only to a worker of the list.
+    /// An attempt goes only to a listed worker.
     TargetListed,
     /// An attempt ends once.
     AttemptEndedOnce,
-    /// Work is handed only to a connection that stands idle.
+    /// Only an idle connection gets a request.
     ConnectionIdle,
-    /// No attempt begins by a list that discovery has begun to replace, past the grace for drains.
+    /// No attempt starts by an endpoint list that discovery has begun to replace, once the drain grace has passed.
     ListCurrent,
-    /// A read has room for what it finds; one within another has none, and takes that for the connection's end.
+    /// A read has a buffer. Without one, as within another read, it would look like the end of the connection.
     RoomToRead,
 }
 
@@ -28,20 +28,26 @@
     Invariant::RoomToRead,
 ];
 
-static BROKEN: [AtomicU64; ALL.len()] = [const { AtomicU64::new(0) }; ALL.len()];
+/// Violations by the discriminant of the invariant.
+static VIOLATIONS: [AtomicU64; ALL.len()] = [const { AtomicU64::new(0) }; ALL.len()];
 
-/// Checks one; says whether it holds.
+/// Checks an invariant, and returns whether it holds.
 pub fn holds(invariant: Invariant, holds: bool) -> bool {
     debug_assert!(holds, "broken: {invariant:?}");
     if !holds {
-        BROKEN[invariant as usize].fetch_add(1, Ordering::Relaxed);
+        VIOLATIONS[invariant as usize].fetch_add(1, Ordering::Relaxed);
     }
     holds
 }
 
-/// How often each was broken, for the log; empty where none was.
+/// How often each invariant was violated, as fields of a log line; empty where none was.
 pub fn broken() -> String {
-    let count = |i: &Invariant| (*i, BROKEN[*i as usize].load(Ordering::Relaxed));
-    let broken = ALL.iter().map(count).filter(|(_, n)| *n > 0);
-    broken.map(|(i, n)| format!(" broken.{i:?}={n}")).collect()
+    let mut fields = String::new();
+    for invariant in ALL {
+        let count = VIOLATIONS[invariant as usize].load(Ordering::Relaxed);
+        if count > 0 {
+            fields.push_str(&format!(" broken.{invariant:?}={count}"));
+        }
+    }
+    fields
 }
--- a/crates/node/src/job_status/tests.rs
+++ b/crates/node/src/job_status/tests.rs
@@ -1,11 +1,12 @@
-use super::*;
+use super::{report_from_text, JobStatus, JobStatusUpdate};
 use crate::config::tests::config;
 
 #[test]
-fn news_of_every_kind_are_read() {
+fn job_status_updates_of_every_kind_are_read() {
     let site = config().site;
     let read = |state: &str| {
-        JobStatusUpdate::read(format!(r#"{{"id":"9b","from":"s-1","state":{state}}}"#).as_bytes(), &site)
+        let body = format!(r#"{{"id":"9b","from":"s-1","state":{state}}}"#);
+        JobStatusUpdate::read(body.as_bytes(), &site)
     };
     let cases = [
         (r#""started""#, JobStatus::Started),
@@ -19,8 +20,8 @@
         assert_eq!(read(text).unwrap().status, status);
     }
     assert!(read(r#""odd""#).is_none() && JobStatusUpdate::read(b"[1]", &site).is_none());
-    let news = read(r#""done","result":"x","load":{"qps":3.5,"x0":2}"#).unwrap();
-    assert!(news.report[0] == 3.5 && news.report[1].is_nan() && news.report[2] == 2.0);
+    let update = read(r#""done","result":"x","load":{"qps":3.5,"x0":2}"#).unwrap();
+    assert!(update.report[0] == 3.5 && update.report[1].is_nan() && update.report[2] == 2.0);
 }
 
 #[test]
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a scheduler since its start: one owner of all that is counted, and what `GET /stats` shows of it.
+//! The metrics of a scheduler since its start, and their form in `GET /stats`.
 
 use crate::membership::MembersGauges;
 use postusher_decision::SendDenial;
@@ -7,6 +7,9 @@
 use serde::Serialize;
 use std::collections::BTreeMap;
 
+/// The name of all customers that the settings do not have, so that clients cannot make up more names.
+const UNKNOWN_CUSTOMERS: &str = "(others)";
+
 /// How a job ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalStatus {
@@ -19,8 +22,8 @@
 }
 
 impl From<FinalStatus> for JobEndStatus {
-    fn from(how: FinalStatus) -> JobEndStatus {
-        match how {
+    fn from(status: FinalStatus) -> JobEndStatus {
+        match status {
             FinalStatus::Served => JobEndStatus::Served,
             FinalStatus::Rejected => JobEndStatus::Rejected,
             FinalStatus::Failed => JobEndStatus::Failed,
@@ -28,72 +31,107 @@
     }
 }
 
-/// A class's jobs by how they ended.
+/// Counts of jobs by how they ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Ended([u64; 3]);
+struct EndCounts {
+    served: u64,
+    rejected: u64,
+    failed: u64,
+}
 
-/// All counters. Each counts where the thing becomes true: a job at its final answer, an attempt when its last byte
-/// is written.
+impl EndCounts {
+    fn of(&self, status: FinalStatus) -> u64 {
+        match status {
+            FinalStatus::Served => self.served,
+            FinalStatus::Rejected => self.rejected,
+            FinalStatus::Failed => self.failed,
+        }
+    }
+
+    fn add(&mut self, status: FinalStatus) {
+        match status {
+            FinalStatus::Served => self.served += 1,
+            FinalStatus::Rejected => self.rejected += 1,
+            FinalStatus::Failed => self.failed += 1,
+        }
+    }
+}
+
+/// Counts under the name of a class or a customer.
+#[derive(Debug)]
+struct NamedCounts {
+    name: String,
+    counts: EndCounts,
+}
+
+impl NamedCounts {
+    fn new(name: &str) -> NamedCounts {
+        NamedCounts { name: name.to_string(), counts: EndCounts::default() }
+    }
+}
+
+/// All counters. A job counts at its final answer, an attempt when its last byte was written.
 #[derive(Debug)]
 pub struct Metrics {
-    classes: Vec<(String, Ended)>,
-    /// By customer, those that the settings don't have last; empty where the settings have none.
-    customers: Vec<(String, Ended)>,
-    /// Requests taken.
+    classes: Vec<NamedCounts>,
+    /// By customer, with those that the settings do not have last; empty where the settings have none.
+    customers: Vec<NamedCounts>,
+    /// Jobs accepted.
     pub taken: u64,
-    /// Clients that went away before their answer.
+    /// Clients that disconnected before their answer.
     pub left: u64,
-    /// Attempts written whole to workers.
+    /// Attempts whose last byte was written.
     pub attempts: u64,
-    /// Attempts that were not begun after all, by the number of the reason.
+    /// Attempts that were not sent, by the discriminant of the reason.
     pub denied: [u64; SendDenial::ALL.len()],
-    /// Times that something was put off or failed for want of a descriptor.
+    /// Times that something was delayed or failed for want of a file descriptor.
     pub short: u64,
-    /// Configurations read again and taken over.
+    /// Configurations that were read again and taken over.
     pub reloads_ok: u64,
     /// Configurations that could not be read again.
     pub reloads_failed: u64,
 }
 
-/// What is not counted but looked up when the metrics are asked for.
+/// Metrics that are not counted but looked up when they are requested.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Gauges {
-    /// Jobs taken and not ended.
+    /// Jobs accepted and not ended.
     pub in_flight: usize,
-    /// Targets on the list.
+    /// Workers on the endpoint list.
     pub workers_known: usize,
-    /// Those of them that are avoided, by hand or by the module's choice.
+    /// Workers on the endpoint list that get no new jobs.
     pub workers_excluded: usize,
-    /// Jobs of each customer that were sent over its share.
+    /// Jobs of each customer that were sent over its quota.
     #[serde(skip)]
     pub over_quota: Vec<u64>,
-    /// Of membership, where this scheduler is a member.
+    /// Metrics of membership, if this scheduler is a member.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub members: Option<MembersGauges>,
-    /// Of the waiting room, where there is one.
+    /// Metrics of deferred jobs, if jobs can be deferred.
     #[serde(flatten)]
     pub waiting: Option<DeferralGauges>,
 }
 
-/// Metrics of the waiting room.
+/// Metrics of deferred jobs.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct DeferralGauges {
-    /// Jobs held.
+    /// Jobs that are deferred now.
     pub held: usize,
-    /// Jobs that went on to the module since the start.
+    /// Deferred jobs that the decision module got since the start.
     pub released: u64,
-    /// The longest that one which was ready has waited for that.
+    /// The longest time, in milliseconds, that a job was ready and deferred.
     pub longest_wait_ms: u64,
 }
 
-/// The form in which operators get the metrics.
+/// The form of all metrics in JSON.
 #[derive(Serialize)]
 struct Stats<'a> {
     served: BTreeMap<&'a str, u64>,
-    refused: BTreeMap<&'a str, u64>,
+    #[serde(rename = "refused")]
+    rejected: BTreeMap<&'a str, u64>,
     failed: BTreeMap<&'a str, u64>,
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
-    customers: BTreeMap<&'a str, ByEnd>,
+    customers: BTreeMap<&'a str, CustomerStats>,
     attempts: u64,
     #[serde(flatten)]
     gauges: Gauges,
@@ -101,28 +139,28 @@
     reloads_failed: u64,
 }
 
-/// A customer's jobs by how they ended.
+/// The form of a customer's metrics in JSON.
 #[derive(Serialize)]
-struct ByEnd {
-    /// Not told of customers that the settings don't have.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    over_share: Option<u64>,
+struct CustomerStats {
+    /// Absent for customers that the settings do not have.
+    #[serde(rename = "over_share", skip_serializing_if = "Option::is_none")]
+    over_quota: Option<u64>,
     served: u64,
-    refused: u64,
+    #[serde(rename = "refused")]
+    rejected: u64,
     failed: u64,
 }
 
-/// The name under which jobs of customers count that the settings don't have. It bounds the names.
-const OTHERS: &str = "(others)";
-
 impl Metrics {
-    /// Nothing counted yet, of any of these classes and customers.
+    /// Metrics of these classes and customers, all 0.
     pub fn new(classes: &[NamedClass], customers: &[String]) -> Self {
-        let others = (!customers.is_empty()).then_some(OTHERS);
-        let customers = customers.iter().map(String::as_str).chain(others);
+        let mut customers: Vec<NamedCounts> = customers.iter().map(|name| NamedCounts::new(name)).collect();
+        if !customers.is_empty() {
+            customers.push(NamedCounts::new(UNKNOWN_CUSTOMERS));
+        }
         Metrics {
-            classes: classes.iter().map(|class| (class.name.clone(), Ended::default())).collect(),
-            customers: customers.map(|name| (name.to_string(), Ended::default())).collect(),
+            classes: classes.iter().map(|class| NamedCounts::new(&class.name)).collect(),
+            customers,
             taken: 0,
             left: 0,
             attempts: 0,
@@ -133,47 +171,67 @@
         }
     }
 
-    /// A job of a class and a customer has had its final answer.
-    pub fn ended(&mut self, class: u16, customer: u16, how: FinalStatus) {
-        let others = self.customers.len().saturating_sub(1);
-        let class = self.classes.get_mut(usize::from(class));
-        let customer = self.customers.get_mut(usize::from(customer).min(others));
-        for (_, ended) in class.into_iter().chain(customer) {
-            ended.0[how as usize] += 1;
+    /// A job of a class and a customer, by their numbers, has its final answer.
+    pub fn ended(&mut self, class: u16, customer: u16, status: FinalStatus) {
+        if let Some(class) = self.classes.get_mut(usize::from(class)) {
+            class.counts.add(status);
+        }
+        let unknown = self.customers.len().saturating_sub(1);
+        if let Some(customer) = self.customers.get_mut(usize::from(customer).min(unknown)) {
+            customer.counts.add(status);
         }
     }
 
-    /// How often attempts were not begun after all, by reason, for the log; empty where none was.
+    /// An attempt was not sent.
+    pub fn attempt_denied(&mut self, denial: SendDenial) {
+        self.denied[denial as usize] += 1;
+    }
+
+    /// How many attempts were not sent, by reason, as fields of a log line; empty where there were none.
     pub fn denials(&self) -> String {
-        let counted = SendDenial::ALL.iter().filter(|denial| self.denied[**denial as usize] > 0);
-        counted.map(|denial| format!(" denied.{denial:?}={}", self.denied[*denial as usize])).collect()
+        let mut fields = String::new();
+        for denial in SendDenial::ALL {
+            let count = self.denied[denial as usize];
+            if count > 0 {
+                fields.push_str(&format!(" denied.{denial:?}={count}"));
+            }
+        }
+        fields
     }
 
     /// How many jobs of all classes ended so.
-    pub fn total(&self, how: FinalStatus) -> u64 {
-        self.classes.iter().map(|(_, ended)| ended.0[how as usize]).sum()
+    pub fn total(&self, status: FinalStatus) -> u64 {
+        self.classes.iter().map(|class| class.counts.of(status)).sum()
     }
 
-    /// The metrics as JSON; every class is named, whether any of its jobs has come or not.
+    /// All metrics as JSON. Every class and customer is there, whether it had jobs or not.
     pub fn json(&self, gauges: Gauges) -> String {
-        let by_class =
-            |how: FinalStatus| self.classes.iter().map(|(n, e)| (n.as_str(), e.0[how as usize])).collect();
-        let over_share = gauges.over_quota.iter().copied().map(Some).chain(std::iter::repeat(None));
-        let customers = self.customers.iter().zip(over_share).map(|((name, ended), over_share)| {
-            let [served, refused, failed] = ended.0;
-            (name.as_str(), ByEnd { over_share, served, refused, failed })
-        });
         let stats = Stats {
-            served: by_class(FinalStatus::Served),
-            refused: by_class(FinalStatus::Rejected),
-            failed: by_class(FinalStatus::Failed),
-            customers: customers.collect(),
+            served: self.by_class(FinalStatus::Served),
+            rejected: self.by_class(FinalStatus::Rejected),
+            failed: self.by_class(FinalStatus::Failed),
+            customers: self.by_customer(&gauges.over_quota),
             attempts: self.attempts,
             gauges,
             reloads_ok: self.reloads_ok,
             reloads_failed: self.reloads_failed,
         };
-        serde_json::to_string(&stats).unwrap_or_default() // numbers under names of text always have a form
+        // Numbers under names can always be serialized.
+        serde_json::to_string(&stats).unwrap_or_default()
+    }
+
+    fn by_class(&self, status: FinalStatus) -> BTreeMap<&str, u64> {
+        self.classes.iter().map(|class| (class.name.as_str(), class.counts.of(status))).collect()
+    }
+
+    fn by_customer(&self, over_quota: &[u64]) -> BTreeMap<&str, CustomerStats> {
+        let mut customers = BTreeMap::new();
+        for (number, customer) in self.customers.iter().enumerate() {
+            let EndCounts { served, rejected, failed } = customer.counts;
+            let over_quota = over_quota.get(number).copied();
+            customers.insert(customer.name.as_str(), CustomerStats { over_quota, served, rejected, failed });
+        }
+        customers
     }
 }
 
--- a/crates/node/src/metrics/tests.rs
+++ b/crates/node/src/metrics/tests.rs
@@ -1,18 +1,18 @@
-use super::*;
+use super::{DeferralGauges, FinalStatus, Gauges, Metrics};
+use postusher_settings::NamedClass;
+use serde_json::{json, Value};
 
 fn class(name: &str) -> NamedClass {
     NamedClass { name: name.into(), max_wait_ms: 1.0 }
 }
 
-use serde_json::{json, Value};
-
 #[test]
-fn every_class_and_figure_is_shown_from_the_start_and_each_end_counts_under_its_own() {
+fn every_class_and_counter_is_shown_from_the_start_and_each_end_counts_for_its_class() {
     let classes = [class("render"), class("fund")];
     let mut metrics = Metrics::new(&classes, &[]);
-    let shown = |f: &Metrics| {
+    let shown = |metrics: &Metrics| {
         let gauges = Gauges { in_flight: 3, workers_known: 12, workers_excluded: 1, ..Gauges::default() };
-        serde_json::from_str::<Value>(&f.json(gauges)).unwrap()
+        serde_json::from_str::<Value>(&metrics.json(gauges)).unwrap()
     };
     let none = json!({"render": 0, "fund": 0});
     assert_eq!(
@@ -27,7 +27,8 @@
     metrics.ended(1, 0, FinalStatus::Served);
     metrics.ended(1, 7, FinalStatus::Rejected);
     metrics.ended(0, 0, FinalStatus::Failed);
-    metrics.ended(9, 0, FinalStatus::Failed); // no such class
+    // There is no such class.
+    metrics.ended(9, 0, FinalStatus::Failed);
     let now = shown(&metrics);
     assert_eq!(now["served"], json!({"render": 1, "fund": 1}));
     assert_eq!(
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn jobs_count_by_customer_where_there_are_any_and_unknown_ones_under_one_name() {
+fn jobs_count_by_customer_and_unknown_customers_under_one_name() {
     let mut metrics = Metrics::new(&[class("fund")], &["acme".to_string(), "zeta".to_string()]);
     metrics.ended(0, 1, FinalStatus::Served);
     metrics.ended(0, 1, FinalStatus::Rejected);
@@ -50,5 +51,5 @@
     let zeta = json!({"served": 1, "refused": 1, "failed": 0, "over_share": 7});
     let others = json!({"served": 0, "refused": 0, "failed": 2});
     assert_eq!(shown["customers"], json!({"acme": acme, "zeta": zeta, "(others)": others}));
-    assert_eq!(metrics.total(FinalStatus::Failed), 2, "and each once by its class");
+    assert_eq!(metrics.total(FinalStatus::Failed), 2, "each counts once for its class, too");
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,4 +1,4 @@
-//! A configuration read again: what a running scheduler takes over of it, and what it cannot.
+//! Reading the configuration again while the scheduler runs: what is taken over, and what needs a restart.
 
 use crate::config::{Config, ConfigError, Setup};
 use postusher_deferred_jobs::Limits;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Where the configuration is read again, and what of the first reading is in force until a restart.
+/// The files of the configuration, and the parts of the first reading that stay in force until a restart.
 pub struct Reload {
     path: PathBuf,
     setup_path: Option<PathBuf>,
@@ -17,46 +17,60 @@
     setup: Setup,
 }
 
-/// What a configuration read again says.
+/// What a running scheduler takes over from a configuration that was read again.
 #[derive(Debug, PartialEq)]
-pub struct New {
-    /// Where discovery answers now.
+pub struct ReloadedConfig {
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// Bounds of the waiting room.
+    /// The limits of deferred jobs; `None` if jobs cannot be deferred.
     pub waiting: Option<Limits>,
-    /// Parts that have changed and are not taken over.
+    /// The keys and elements that have changed and need a restart.
     pub restart: Vec<&'static str>,
 }
 
 impl Reload {
-    /// Remembers what a scheduler starts with. Its seed and the list that it knew are for a start alone.
+    /// Keeps what a scheduler starts with, except for its seed and the cached endpoint list, which matter only to a
+    /// start.
     pub fn new(path: PathBuf, setup_path: Option<PathBuf>, config: &Config) -> Self {
-        let (name, site, setup) = (config.name.clone(), config.site.clone(), config.setup.clone());
-        Reload { path, setup_path, name, listen: config.listen, mgmt: config.mgmt, site, setup }
+        Reload {
+            path,
+            setup_path,
+            name: config.name.clone(),
+            listen: config.listen,
+            mgmt: config.mgmt,
+            site: config.site.clone(),
+            setup: config.setup.clone(),
+        }
     }
 
-    /// Reads the file again; a file with anything wrong in it is of no use as a whole.
-    pub fn read(&self) -> Result<New, ConfigError> {
+    /// Reads the files again.
+    ///
+    /// # Errors
+    /// A file has a mistake in it; nothing of them is taken over then.
+    pub fn read(&self) -> Result<ReloadedConfig, ConfigError> {
         let config = Config::load(&self.path, self.setup_path.as_deref())?;
-        let has_waiting = |setup: &Setup| setup.0.waiting.is_some();
+        Ok(ReloadedConfig {
+            discovery: config.discovery,
+            sockets: config.sockets,
+            waiting: config.setup.limits(&self.site),
+            restart: self.parts_for_restart(&config),
+        })
+    }
+
+    /// The parts that differ from those in force and are not taken over.
+    fn parts_for_restart(&self, config: &Config) -> Vec<&'static str> {
+        let (new, old) = (&config.setup.0, &self.setup.0);
         let parts = [
             ("name", config.name != self.name),
             ("listen", config.listen != self.listen),
             ("mgmt", config.mgmt != self.mgmt),
             ("settings", config.site != self.site),
-            ("<waiting>", has_waiting(&config.setup) != has_waiting(&self.setup)),
+            ("<waiting>", new.waiting.is_some() != old.waiting.is_some()),
+            ("<members>", new.members != old.members),
         ];
-        let members = ("<members>", config.setup.0.members != self.setup.0.members);
-        let restart = parts
-            .into_iter()
-            .chain([members])
-            .filter(|(_, changed)| *changed)
-            .map(|(part, _)| part)
-            .collect();
-        let waiting = config.setup.limits(&self.site);
-        Ok(New { discovery: config.discovery, sockets: config.sockets, waiting, restart })
+        parts.into_iter().filter(|(_, has_changed)| *has_changed).map(|(part, _)| part).collect()
     }
 }
 
--- a/crates/node/src/reload/tests.rs
+++ b/crates/node/src/reload/tests.rs
@@ -1,9 +1,10 @@
-use super::*;
+use super::{Reload, ReloadedConfig};
 use crate::config::tests::{config, sample};
 use serde_json::json;
+use std::net::SocketAddr;
 
 #[test]
-fn a_new_file_tells_what_has_changed_and_a_broken_one_is_refused() {
+fn a_changed_file_shows_what_needs_a_restart_and_an_invalid_one_is_an_error() {
     let path = std::env::temp_dir().join(format!("postusher-reload-{}.json", std::process::id()));
     let reload = Reload::new(path.clone(), None, &config());
     let read = |key: &str, value: serde_json::Value| {
@@ -14,8 +15,9 @@
     };
     let discovery: SocketAddr = ([127, 0, 0, 1], 10).into();
     let moved = read("discovery", json!("127.0.0.1:10"));
-    assert_eq!(moved.unwrap(), New { discovery, sockets: 128, waiting: None, restart: Vec::new() });
-    // Seed and list are new with each start, and mean nothing to one that runs.
+    let expected = ReloadedConfig { discovery, sockets: 128, waiting: None, restart: Vec::new() };
+    assert_eq!(moved.unwrap(), expected);
+    // A seed is for a start; a running scheduler keeps its own.
     assert!(read("seed", json!("1")).is_ok_and(|new| new.restart.is_empty()));
     assert_eq!(read("limits", json!({"sockets": 256})).unwrap().sockets, 256);
     assert_eq!(read("listen", json!("127.0.0.1:1")).unwrap().restart, ["listen"]);
