--- a/crates/node/src/golden_tests.rs
+++ b/crates/node/src/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Golden files: the bytes that this program writes to others stay as the fixtures have them, and what an older
-//! version wrote is still read. `UPDATE_GOLDEN=1` writes the fixtures anew, for a deliberate change of a format.
+//! Golden files: the bytes that this program sends to others stay as they are, and what an older version sent is still
+//! read. `UPDATE_GOLDEN=1` writes the files anew, for a deliberate change of a format.
 
 use crate::admin::AdminRequest;
 use crate::answer::{Answer, Failure};
@@ -17,9 +17,13 @@
 use postusher_membership::{Config, Members};
 use std::path::PathBuf;
 
-/// Compares bytes with a fixture.
+fn golden_file(name: &str) -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// Compares bytes with a golden file.
 fn check(name: &str, actual: &[u8]) {
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = golden_file(name);
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
         std::fs::write(&path, actual).unwrap();
     }
@@ -29,7 +33,7 @@
 }
 
 fn learned() -> LearnedSnapshot {
-    let health = WorkerHistory {
+    let history = WorkerHistory {
         max_free_slots: 5,
         foreign_slots: 0.5,
         report_age: Some(9),
@@ -37,16 +41,16 @@
         ejected_for: 7,
         consecutive_ejections: 2,
     };
-    let memory = LearnedState {
+    let state = LearnedState {
         fleet_means: vec![Some(1.5), None],
         queueing_delay: 2.5,
         recent_scores: vec![0.5, -0.5],
         classes: vec![ClassEstimates { log_duration: Some(0.1), mean_duration: None, rejection_rate: 0.2 }],
         kinds: vec![(1, Some(0.3)), (2, None)],
         quota_balances: vec![1.5, -2.0],
-        workers: vec![(WorkerId(7), health), (WorkerId(8), WorkerHistory::default())],
+        workers: vec![(WorkerId(7), history), (WorkerId(8), WorkerHistory::default())],
     };
-    LearnedSnapshot::new(memory, |id| Some(format!("s-{}", id.0)))
+    LearnedSnapshot::new(state, |id| Some(format!("s-{}", id.0)))
 }
 
 fn upgrade_messages() -> Vec<Message> {
@@ -57,7 +61,7 @@
         pending,
         may_have_run,
     };
-    let wait = MigratedDeferral {
+    let deferral = MigratedDeferral {
         dependencies: vec![("t8".into(), true), ("t9".into(), false)],
         start_in: Some(2.5),
         ready_for: None,
@@ -69,7 +73,7 @@
         attempts,
         deferral,
     };
-    let moved = |job| Message::ConnectionMigrated(MigratedConnection { age: 1.5, has_served: true, job });
+    let migrated = |job| Message::ConnectionMigrated(MigratedConnection { age: 1.5, has_served: true, job });
     vec![
         Message::State(SchedulerState {
             disabled_workers: vec!["s-1".into()],
@@ -93,9 +97,9 @@
         Message::JobEnded(ended("t9", JobEndStatus::Served)),
         Message::JobEnded(ended("t9", JobEndStatus::Failed)),
         Message::Learned(learned()),
-        moved(None),
-        moved(Some(job(vec![attempt("s-1", true, true), attempt("s-2", false, false)], None))),
-        moved(Some(job(Vec::new(), Some(wait)))),
+        migrated(None),
+        migrated(Some(job(vec![attempt("s-1", true, true), attempt("s-2", false, false)], None))),
+        migrated(Some(job(Vec::new(), Some(deferral)))),
     ]
 }
 
@@ -103,14 +107,16 @@
 fn messages_between_the_processes_of_an_upgrade_keep_their_bytes() {
     let messages = upgrade_messages();
     let mut from = Link::default();
-    messages.iter().for_each(|message| from.send(message));
+    for message in &messages {
+        from.send(message);
+    }
     check("upgrade-messages.jsonl", from.outbox.unsent());
-    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/upgrade-messages.jsonl");
-    assert_eq!(Link::default().receive(&std::fs::read(path).unwrap()), messages);
+    let written = std::fs::read(golden_file("upgrade-messages.jsonl")).unwrap();
+    assert_eq!(Link::default().receive(&written), messages);
 }
 
 #[test]
-fn messages_of_versions_before_some_fields_are_read() {
+fn messages_without_newer_fields_are_read() {
     let older = concat!(
         r#"{"state":{"taken_out":[],"drained":false,"open":["a"]}}"#,
         "\n",
@@ -147,15 +153,18 @@
         Answer::Failed(Failure::DependencyCycle),
         Answer::Failed(Failure::StartAfterDeadline),
     ];
-    let both = answers.iter().flat_map(|answer| [answer.bytes(true), answer.bytes(false)]);
-    check(
-        "final-answers.txt",
-        &both.flat_map(|bytes| [bytes, b"\n---\n".to_vec()].concat()).collect::<Vec<_>>(),
-    );
+    let mut all = Vec::new();
+    for answer in answers {
+        for keep_alive in [true, false] {
+            all.extend_from_slice(&answer.bytes(keep_alive));
+            all.extend_from_slice(b"\n---\n");
+        }
+    }
+    check("final-answers.txt", &all);
 }
 
 #[test]
-fn the_request_that_a_worker_gets_keeps_its_bytes() {
+fn the_request_to_a_worker_keeps_its_bytes() {
     let job = job_of(
         "POST /fund/x?y=1 HTTP/1.1\r\nHost: o.svc\r\nX-Trace-Id: 9b1f\r\nX-Qos: fund\r\nX-Object: 7f3a9c21e0b4d655\r\n\
          Idempotency-Key: k\r\nX-Expires-In: 480m\r\nX-Size-Hint: 2500\r\nX-Props: slots=4,memory=0.5\r\n\
@@ -165,10 +174,6 @@
     check("worker-request.txt", &job.unwrap().payload.request(250.0));
 }
 
-fn gauges(view: &Members) -> MembersGauges {
-    MembersGauges::new(&view.view(), view.figures())
-}
-
 fn member() -> Members {
     let config = Config::new("c", "a1", "lamia", "127.0.0.11:7946".parse().unwrap());
     let mut member = Members::new(config, 1, 0.0);
@@ -183,14 +188,16 @@
     metrics.ended(0, 0, FinalStatus::Served);
     metrics.ended(1, 1, FinalStatus::Rejected);
     metrics.ended(1, 9, FinalStatus::Failed);
-    (metrics.attempts, metrics.reloads_ok, metrics.reloads_failed) = (5, 1, 2);
+    metrics.attempts = 5;
+    metrics.reloads_ok = 1;
+    metrics.reloads_failed = 2;
     let member = member();
     let all = Gauges {
         in_flight: 3,
         workers_known: 12,
         workers_excluded: 1,
         over_quota: vec![0, 7],
-        members: Some(gauges(&member)),
+        members: Some(MembersGauges::new(&member.view(), member.figures())),
         waiting: Some(DeferralGauges { held: 5, released: 7, longest_wait_ms: 250 }),
     };
     let shown = [metrics.json(Gauges::default()), metrics.json(all), json(&member.view())];
--- a/crates/node/src/model.rs
+++ b/crates/node/src/model.rs
@@ -1,12 +1,17 @@
-//! Models of a connection's states and of a request's way, against which random steps are checked.
+//! Models of a connection's states and of a job's course, which random steps are checked against.
 
-use proptest::prelude::*;
+use proptest::prelude::ProptestConfig;
 use proptest::test_runner::RngSeed;
 
 mod connections;
-mod requests;
+mod job_inputs;
+mod jobs;
 
-fn fixed(cases: u32) -> ProptestConfig {
-    let base = ProptestConfig::with_cases(cases);
-    ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..base }
+/// A configuration with a fixed seed.
+fn fixed_seed(cases: u32) -> ProptestConfig {
+    ProptestConfig {
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(7),
+        ..ProptestConfig::with_cases(cases)
+    }
 }
--- a/crates/node/src/model/connections.rs
+++ b/crates/node/src/model/connections.rs
@@ -1,130 +1,68 @@
-//! Connections of clients and to workers: whatever comes in whatever pieces, each keeps its turns.
+//! Connections of clients and to workers, however the bytes are cut.
 
-use super::fixed;
-use crate::downstream::{self, State as Side};
+use super::fixed_seed;
+use crate::downstream::{self, State};
 use crate::http::{self, Decoder, StatusLine};
 use crate::upstream::{self, End, Task};
 use postusher_decision::{AttemptId, JobId, WorkerId};
 use proptest::prelude::*;
+use proptest::test_runner::TestCaseError;
+
+const ATTEMPT: Task = Task::Attempt(JobId(1), AttemptId(0));
+const REQUESTS: usize = 200;
 
 proptest! {
-    #![proptest_config(fixed(256))]
+    #![proptest_config(fixed_seed(256))]
 
-    /// Whatever comes in whatever pieces: requests are handed on whole, in order, one at a time, and what
-    /// goes out is their answers in the same order and nothing after the last.
+    /// Requests are handed on whole, in order and one at a time; the answers go out in the same order, and nothing follows
+    /// the last.
     #[test]
-    fn a_listener_keeps_its_turns(steps in prop::collection::vec((0u8..5, 1usize..90, any::<bool>()), 1..120)) {
-        let one = |n: usize| format!("POST /render/{n} HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
-        let all: String = (0..200).map(one).collect();
-        let (mut c, mut fed, mut taken, mut out) = (downstream::Connection::new(0.0), 0, 0, Vec::new());
-        let (mut expected, mut side, mut whole) = (String::new(), Side::Open, 0);
-        for (what, n, keep) in steps {
-            match what {
-                0 => {
-                    c.receive(&all.as_bytes()[fed..fed + n], 1.0);
-                    fed += if side == Side::Last { 0 } else { n };
-                    whole = (0..200).scan(0, |end, i| { *end += one(i).len(); Some(*end) }).filter(|e| *e <= fed).count();
-                }
-                1 => {
-                    let next = c.next().map(|r| r.unwrap().line.target);
-                    let due = side == Side::Open && taken < whole;
-                    prop_assert_eq!(next, due.then(|| format!("/render/{taken}")));
-                    if due {
-                        (side, taken) = (Side::Busy, taken + 1);
-                    }
-                }
-                2 => {
-                    let answer = format!("answer {taken} {keep};");
-                    c.answer(answer.as_bytes(), keep, 2.0);
-                    if side == Side::Busy {
-                        expected += &answer;
-                        side = if keep { Side::Open } else { Side::Last };
-                    }
-                }
-                // Another process goes on with it.
-                3 if c.may_move() => {
-                    let job = (c.state() == Side::Busy).then(|| c.is_last());
-                    c = downstream::Connection::moved(3.0, c.age(3.0), c.has_served(), job);
-                }
-                _ => {
-                    let n = n.min(c.outbox.unsent().len());
-                    out.extend_from_slice(&c.outbox.unsent()[..n]);
-                    c.outbox.sent(n);
-                }
+    fn a_downstream_connection_handles_one_request_at_a_time(steps in prop::collection::vec((0u8..5, 1usize..90, any::<bool>()), 1..120)) {
+        let mut model = Downstream::new();
+        for (operation, count, keep) in steps {
+            match operation {
+                0 => model.receive(count),
+                1 => model.take_request()?,
+                2 => model.answer(keep),
+                3 if model.connection.may_move() => model.migrate(),
+                _ => model.send(count),
             }
-            prop_assert_eq!(c.state(), side);
-            prop_assert_eq!(c.is_idle(), side == Side::Open && out.len() == expected.len() && fed == one_end(&all, taken));
+            model.check()?;
         }
-        out.extend_from_slice(c.outbox.unsent());
-        prop_assert_eq!(String::from_utf8(out).unwrap(), expected);
+        let unsent = model.connection.outbox.unsent().to_vec();
+        model.sent.extend_from_slice(&unsent);
+        prop_assert_eq!(String::from_utf8(model.sent).unwrap(), model.answers);
     }
 
-    /// A task ends once, by an answer, by a break before its last byte or by one after; a connection is idle
-    /// only when it is up and has none, and closed for good.
+    /// A task ends once: with an answer, or with a break before or after its last byte was written. A connection is idle
+    /// only when it is up without a task, and closed for good.
     #[test]
-    fn a_forward_ends_as_its_bytes_tell(steps in prop::collection::vec((0u8..6, 1usize..40, any::<bool>()), 1..80)) {
-        let task = Task::Attempt(JobId(1), AttemptId(0));
-        let (mut c, mut up, mut open) = (upstream::Connection::new(WorkerId(1)), false, true);
-        let (mut busy, mut left, mut begun, mut come, mut kept) = (false, 0usize, false, 0usize, false);
-        for (what, n, keep) in steps {
-            let whole = http::response(202, &[], b"", keep);
-            match what {
-                0 if open => { c.connected(); up = true; }
-                1 if open && !busy && come == 0 => {
-                    c.start(task);
-                    c.write(&vec![b'x'; n]);
-                    (busy, left, begun) = (true, n, false);
-                }
-                2 if open && up => {
-                    let n = n.min(left);
-                    c.outbox.sent(n);
-                    (left, begun) = (left - n, begun || n > 0);
-                    begun &= left > 0;
-                }
-                3 if open && up && keep => {
-                    let part = &whole[come..(come + n).min(whole.len())];
-                    come += part.len();
-                    let ended = c.receive(part);
-                    if !busy {
-                        open = false;
-                    } else if come == whole.len() {
-                        prop_assert!(matches!(ended, Some((t, End::Answer(ref m))) if t == task && m.line.status == 202));
-                        (busy, open, come, kept) = (false, left == 0, 0, true);
-                        if !open { left = 0; }
-                    } else {
-                        prop_assert!(ended.is_none());
-                    }
-                }
-                4 if open => {
-                    let ended = c.broken();
-                    prop_assert_eq!(ended.is_some(), busy);
-                    let (new, sent) = (busy && !kept, left == 0);
-                    prop_assert_eq!(new && !sent, matches!(ended, Some((_, End::NotSent))));
-                    prop_assert_eq!(new && sent, matches!(ended, Some((_, End::Broken))));
-                    prop_assert_eq!(busy && kept, matches!(ended, Some((_, End::Stale { sent: s })) if s == sent));
-                    (busy, open) = (false, false);
-                }
-                5 if open => {
-                    c.give_up();
-                    open &= !busy || left > 0 && !begun;
-                    (busy, left) = (false, 0);
-                }
+    fn a_task_ends_as_its_bytes_show(steps in prop::collection::vec((0u8..6, 1usize..40, any::<bool>()), 1..80)) {
+        let mut model = Upstream::new();
+        for (operation, count, keep) in steps {
+            match operation {
+                0 if model.is_open => model.connect(),
+                1 if model.is_open && !model.is_busy && model.received == 0 => model.start(count),
+                2 if model.is_open && model.is_up => model.write(count),
+                3 if model.is_open && model.is_up && keep => model.receive(count)?,
+                4 if model.is_open => model.break_off()?,
+                5 if model.is_open => model.give_up(),
                 _ => {}
             }
-            prop_assert_eq!(c.is_closed(), !open);
-            prop_assert_eq!(c.is_idle(), open && up && !busy);
-            prop_assert_eq!(c.task().is_some(), busy);
+            model.check()?;
         }
     }
 
-    /// Whatever comes is read or refused with a status that HTTP has for it, and never more than a body's limit.
+    /// Any input is read or rejected with a status that HTTP has for it, and no body exceeds its limit.
     #[test]
-    fn any_input_is_read_or_refused(parts in prop::collection::vec("[ -~\r\n]{0,60}|HTTP/1.1 200 OK\r\n|POST / HTTP/1.1\r\n|Content-Length: [0-9]{1,6}\r\n|Transfer-Encoding: chunked\r\n|\r\n", 0..12)) {
-        let (mut answers, mut requests) = (Decoder::<StatusLine>::new(), downstream::Connection::new(0.0));
+    fn any_input_is_read_or_rejected(parts in prop::collection::vec("[ -~\r\n]{0,60}|HTTP/1.1 200 OK\r\n|POST / HTTP/1.1\r\n|Content-Length: [0-9]{1,6}\r\n|Transfer-Encoding: chunked\r\n|\r\n", 0..12)) {
+        let mut answers = Decoder::<StatusLine>::new();
+        let mut requests = downstream::Connection::new(0.0);
         for part in parts {
             answers.feed(part.as_bytes());
             requests.receive(part.as_bytes(), 0.0);
-            let (answer, request) = (answers.next(), requests.next().transpose());
+            let answer = answers.next();
+            let request = requests.next().transpose();
             if let Ok(Some(message)) = &answer {
                 prop_assert!(message.body.len() <= http::MAX_BODY);
             }
@@ -132,9 +70,10 @@
                 prop_assert!([400, 413, 431, 501].contains(&fault.0), "{fault:?}");
             }
             if matches!(request, Ok(None)) {
-                prop_assert_eq!(requests.state(), Side::Open);
+                prop_assert_eq!(requests.state(), State::Open);
             } else {
-                prop_assert_eq!((requests.state(), requests.next().is_none()), (Side::Busy, true));
+                prop_assert_eq!(requests.state(), State::Busy);
+                prop_assert!(requests.next().is_none());
                 requests.answer(b"", true, 0.0);
             }
             if answer.is_err() || request.is_err() {
@@ -144,7 +83,206 @@
     }
 }
 
-/// Where the `n`th request ends in the text of all.
-fn one_end(all: &str, n: usize) -> usize {
-    all.match_indices("abc").nth(n.wrapping_sub(1)).map_or(0, |(at, _)| at + 3)
+/// A downstream connection beside what it must do.
+struct Downstream {
+    connection: downstream::Connection,
+    /// All that the client sends.
+    input: String,
+    /// The end of each request in it.
+    ends: Vec<usize>,
+    /// Bytes that the connection has received.
+    received: usize,
+    /// Requests that were handed on.
+    taken: usize,
+    state: State,
+    /// All answers so far.
+    answers: String,
+    /// Bytes that were written to the socket.
+    sent: Vec<u8>,
+}
+
+impl Downstream {
+    fn new() -> Downstream {
+        let mut input = String::new();
+        let mut ends = Vec::new();
+        for number in 0..REQUESTS {
+            input += &format!("POST /render/{number} HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
+            ends.push(input.len());
+        }
+        Downstream {
+            connection: downstream::Connection::new(0.0),
+            input,
+            ends,
+            received: 0,
+            taken: 0,
+            state: State::Open,
+            answers: String::new(),
+            sent: Vec::new(),
+        }
+    }
+
+    fn receive(&mut self, count: usize) {
+        let end = self.received + count;
+        self.connection.receive(&self.input.as_bytes()[self.received..end], 1.0);
+        // What comes after the last answer is dropped.
+        if self.state != State::Last {
+            self.received = end;
+        }
+    }
+
+    fn take_request(&mut self) -> Result<(), TestCaseError> {
+        let next = self.connection.next().map(|request| request.unwrap().line.target);
+        let complete = self.ends.iter().filter(|end| **end <= self.received).count();
+        if self.state == State::Open && self.taken < complete {
+            prop_assert_eq!(next, Some(format!("/render/{}", self.taken)));
+            self.state = State::Busy;
+            self.taken += 1;
+        } else {
+            prop_assert_eq!(next, None);
+        }
+        Ok(())
+    }
+
+    fn answer(&mut self, keep: bool) {
+        let answer = format!("answer {} {keep};", self.taken);
+        self.connection.answer(answer.as_bytes(), keep, 2.0);
+        if self.state == State::Busy {
+            self.answers += &answer;
+            self.state = if keep { State::Open } else { State::Last };
+        }
+    }
+
+    /// Another process continues with the connection.
+    fn migrate(&mut self) {
+        let before = &self.connection;
+        let job = (before.state() == State::Busy).then(|| before.is_last());
+        self.connection = downstream::Connection::moved(3.0, before.age(3.0), before.has_served(), job);
+    }
+
+    fn send(&mut self, count: usize) {
+        let unsent = self.connection.outbox.unsent();
+        let count = count.min(unsent.len());
+        self.sent.extend_from_slice(&unsent[..count]);
+        self.connection.outbox.sent(count);
+    }
+
+    fn check(&self) -> Result<(), TestCaseError> {
+        let taken_bytes = match self.taken.checked_sub(1) {
+            Some(last) => self.ends[last],
+            None => 0,
+        };
+        let is_idle = self.state == State::Open
+            && self.sent.len() == self.answers.len()
+            && self.received == taken_bytes;
+        prop_assert_eq!(self.connection.state(), self.state);
+        prop_assert_eq!(self.connection.is_idle(), is_idle);
+        Ok(())
+    }
+}
+
+/// An upstream connection beside what it must do.
+struct Upstream {
+    connection: upstream::Connection,
+    is_up: bool,
+    is_open: bool,
+    /// It has a task.
+    is_busy: bool,
+    /// Bytes of the request that are not written.
+    unwritten: usize,
+    /// A part of the request is written, and not all of it.
+    is_partly_written: bool,
+    /// Bytes of the answer that have come.
+    received: usize,
+    /// It has brought an answer before.
+    was_kept: bool,
+}
+
+impl Upstream {
+    fn new() -> Upstream {
+        Upstream {
+            connection: upstream::Connection::new(WorkerId(1)),
+            is_up: false,
+            is_open: true,
+            is_busy: false,
+            unwritten: 0,
+            is_partly_written: false,
+            received: 0,
+            was_kept: false,
+        }
+    }
+
+    fn connect(&mut self) {
+        self.connection.connected();
+        self.is_up = true;
+    }
+
+    fn start(&mut self, size: usize) {
+        self.connection.start(ATTEMPT);
+        self.connection.write(&vec![b'x'; size]);
+        self.is_busy = true;
+        self.unwritten = size;
+        self.is_partly_written = false;
+    }
+
+    fn write(&mut self, count: usize) {
+        let count = count.min(self.unwritten);
+        self.connection.outbox.sent(count);
+        self.unwritten -= count;
+        self.is_partly_written = (self.is_partly_written || count > 0) && self.unwritten > 0;
+    }
+
+    fn receive(&mut self, count: usize) -> Result<(), TestCaseError> {
+        let answer = http::response(202, &[], b"", true);
+        let end = (self.received + count).min(answer.len());
+        let ended = self.connection.receive(&answer[self.received..end]);
+        self.received = end;
+        if !self.is_busy {
+            self.is_open = false;
+        } else if end < answer.len() {
+            prop_assert!(ended.is_none());
+        } else {
+            let Some((task, End::Answer(message))) = ended else {
+                return Err(TestCaseError::fail("no answer"));
+            };
+            prop_assert_eq!((task, message.line.status), (ATTEMPT, 202));
+            self.is_busy = false;
+            self.received = 0;
+            self.was_kept = true;
+            // An answer to a request that is not written whole closes the connection.
+            self.is_open = self.unwritten == 0;
+            self.unwritten = 0;
+        }
+        Ok(())
+    }
+
+    fn break_off(&mut self) -> Result<(), TestCaseError> {
+        let ended = self.connection.broken().map(|(_, end)| end);
+        let was_sent = self.unwritten == 0;
+        let is_expected = match ended {
+            None => !self.is_busy,
+            Some(End::NotSent) => self.is_busy && !self.was_kept && !was_sent,
+            Some(End::Broken) => self.is_busy && !self.was_kept && was_sent,
+            Some(End::Stale { sent }) => self.is_busy && self.was_kept && sent == was_sent,
+            Some(End::Answer(_) | End::Withheld) => false,
+        };
+        prop_assert!(is_expected, "{:?}", ended);
+        self.is_busy = false;
+        self.is_open = false;
+        Ok(())
+    }
+
+    fn give_up(&mut self) {
+        self.connection.give_up();
+        let is_unwritten = self.unwritten > 0 && !self.is_partly_written;
+        self.is_open = !self.is_busy || is_unwritten;
+        self.is_busy = false;
+        self.unwritten = 0;
+    }
+
+    fn check(&self) -> Result<(), TestCaseError> {
+        prop_assert_eq!(self.connection.is_closed(), !self.is_open);
+        prop_assert_eq!(self.connection.is_idle(), self.is_open && self.is_up && !self.is_busy);
+        prop_assert_eq!(self.connection.task().is_some(), self.is_busy);
+        Ok(())
+    }
 }
--- /dev/null
+++ b/crates/node/src/model/job_inputs.rs
@@ -0,0 +1,62 @@
+//! What the model of a job's course feeds into it: lists, answers and job status updates.
+
+use crate::config::tests::sample;
+use crate::discovery::List;
+use crate::http::{self, Decoder};
+use crate::job_status::{JobStatus, JobStatusUpdate};
+use crate::upstream::End;
+use crate::worker_protocol::NEVER_RAN_HEADER;
+
+/// A worker's update that a job is done.
+pub fn done(trace_id: &str, worker: &str) -> JobStatusUpdate {
+    JobStatusUpdate {
+        trace_id: trace_id.into(),
+        worker: worker.into(),
+        status: JobStatus::Done(b"r".to_vec()),
+        report: Vec::new(),
+    }
+}
+
+/// A complete list of this many workers, the last of them in this state.
+pub fn complete_list(count: u32, last_state: &str) -> List {
+    let mut servers = Vec::new();
+    for number in 0..count {
+        let mut entry = sample()["known"]["servers"][0].clone();
+        entry["id"] = format!("s-{number}").into();
+        entry["state"] = if number + 1 == count { last_state } else { "up" }.into();
+        servers.push(entry);
+    }
+    List::read(&serde_json::json!({"version": 1, "full": true, "servers": servers}).to_string()).unwrap()
+}
+
+/// How the sending of an attempt fails.
+pub fn failure(choice: u8) -> End {
+    match choice % 4 {
+        0 if choice >= 128 => End::Stale { sent: choice >= 192 },
+        0 => End::NotSent,
+        1 => End::Broken,
+        2 => worker_answer(500, choice),
+        _ => worker_answer(503, choice),
+    }
+}
+
+/// A worker's report about a job.
+pub fn status(choice: u8) -> JobStatus {
+    match choice % 8 {
+        0 => JobStatus::Failed,
+        1 => JobStatus::Returned,
+        2 => JobStatus::Lost,
+        3 => JobStatus::Running(0.5),
+        4 => JobStatus::Started,
+        _ => JobStatus::Done(b"r".to_vec()),
+    }
+}
+
+/// A worker's answer to an attempt, sometimes with the promise that the job has not run.
+pub fn worker_answer(status: u16, choice: u8) -> End {
+    let never_ran = [(NEVER_RAN_HEADER, "1".to_string())];
+    let headers: &[_] = if choice.is_multiple_of(3) { &never_ran } else { &[] };
+    let mut decoder = Decoder::new();
+    decoder.feed(&http::response(status, headers, b"", true));
+    End::Answer(decoder.next().unwrap().unwrap())
+}
--- /dev/null
+++ b/crates/node/src/model/jobs.rs
@@ -0,0 +1,361 @@
+//! The course of jobs through [`Dispatch`]: one final answer, and attempts that end as their workers report.
+
+use super::fixed_seed;
+use super::job_inputs::{complete_list, done, failure, status, worker_answer};
+use crate::answer::{Answer, Failure};
+use crate::clock::Millis;
+use crate::config::tests::config;
+use crate::connection_id::ConnectionId;
+use crate::dispatch::{Command, Dispatch};
+use crate::endpoint_list::EndpointList;
+use crate::intake::tests::job_of;
+use crate::job_status::{JobStatus, JobStatusUpdate};
+use crate::upgrade_protocol::MigratedJob;
+use crate::upstream::End;
+use postusher_decision::{AttemptId, JobId, ListUpdate, WorkerId};
+use postusher_settings::micros_from_millis;
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// The drain grace of the configuration.
+const DRAIN_GRACE: Millis = 500.0;
+/// The time from a job's arrival to its deadline.
+const JOB_WAIT: Millis = 5_000.0;
+/// So long after the deadline, a job can only fail.
+const ANSWER_SLACK: Millis = 1_000.0;
+const START: Millis = 1e6;
+const WORKERS: u32 = 4;
+
+proptest! {
+    #![proptest_config(fixed_seed(256))]
+
+    /// In any order of events: each job has one final answer by its deadline, and none after its client has disconnected;
+    /// attempts start only at listed workers; an attempt is given up as far as its worker has acknowledged it; and nothing
+    /// is left over.
+    #[test]
+    fn every_job_gets_one_final_answer(steps in prop::collection::vec((0u8..13, any::<u8>(), 0u16..700), 1..160)) {
+        let mut model = Model::new();
+        for (operation, choice, wait) in steps {
+            model.step(operation, choice, f64::from(wait));
+        }
+        for _ in 0..200 {
+            model.wait(200.0);
+        }
+        prop_assert!(model.jobs.values().all(|job| job.is_over), "a job without an answer");
+        prop_assert_eq!((model.dispatch.open_jobs(), model.dispatch.unanswered_jobs()), (0, 0));
+    }
+}
+
+/// The acknowledgement of an attempt may be lost though its worker has the job: the result is the client's all the same.
+#[test]
+fn a_result_counts_though_its_attempt_seemed_lost() {
+    let mut model = Model::new();
+    model.step(0, 1, 0.0);
+    model.decide();
+    let (&(id, attempt), lost) = model.attempts.iter().next().unwrap();
+    let worker = lost.worker_name.clone();
+    model.sending_ended(id, attempt, End::Broken);
+    model.decide();
+    model.dispatch.job_status(done("t0", "s-other"), model.now);
+    model.decide();
+    assert!(!model.jobs[&0].is_over);
+    model.dispatch.job_status(done("t0", &worker), model.now);
+    model.decide();
+    assert!(model.jobs[&0].is_over);
+}
+
+/// What the model knows of a job.
+struct ModelJob {
+    client: ConnectionId,
+    deadline: Millis,
+    /// It has its final answer, or its client has disconnected.
+    is_over: bool,
+}
+
+/// What the model knows of an attempt.
+#[derive(Clone)]
+struct ModelAttempt {
+    worker: WorkerId,
+    worker_name: String,
+    is_accepted: bool,
+    is_pending: bool,
+    /// Its connection is up and its request is written.
+    is_written: bool,
+}
+
+/// [`Dispatch`] beside what it must do.
+struct Model {
+    dispatch: Dispatch,
+    endpoints: EndpointList,
+    now: Millis,
+    /// By the number in the trace id.
+    jobs: BTreeMap<u64, ModelJob>,
+    numbers: BTreeMap<JobId, u64>,
+    /// The attempt that ended last.
+    last_ended: Option<(JobId, AttemptId)>,
+    attempts: BTreeMap<(JobId, AttemptId), ModelAttempt>,
+    /// When discovery began an answer that is not complete.
+    replaced_since: Option<Millis>,
+}
+
+impl Model {
+    fn new() -> Model {
+        let site = Rc::new(config().site);
+        let mut model = Model {
+            dispatch: Dispatch::new(site.clone(), 7, START),
+            endpoints: EndpointList::new(&site),
+            now: START,
+            jobs: BTreeMap::new(),
+            numbers: BTreeMap::new(),
+            last_ended: None,
+            attempts: BTreeMap::new(),
+            replaced_since: None,
+        };
+        let endpoints = model.endpoints.apply(complete_list(WORKERS, "up")).endpoints;
+        model.dispatch.endpoint_list(ListUpdate::Cached, endpoints);
+        // Discovery confirms the list.
+        model.dispatch.endpoint_list(ListUpdate::Changes, Vec::new());
+        model.decide();
+        model
+    }
+
+    fn step(&mut self, operation: u8, choice: u8, wait: Millis) {
+        match (operation, self.chosen_attempt(choice)) {
+            (0..=3, _) => self.submit_job(choice),
+            (4, Some((id, attempt))) => self.sending_ended(id, attempt, worker_answer(202, choice)),
+            (5, Some((id, attempt))) => self.sending_ended(id, attempt, failure(choice)),
+            (6..=8, Some((id, attempt))) => self.send_status(id, attempt, status(choice)),
+            (9, _) => self.disconnect_client(),
+            (10, _) => self.replace_list(choice),
+            (11, _) => self.begin_list_answer(),
+            (12, _) => self.upgrade(),
+            _ => {}
+        }
+        // Otherwise the next step falls into the same batch of events.
+        if !choice.is_multiple_of(5) {
+            self.wait(wait);
+        }
+    }
+
+    fn chosen_attempt(&self, choice: u8) -> Option<(JobId, AttemptId)> {
+        let sent = self.attempts.iter().filter(|(_, attempt)| attempt.is_pending && attempt.is_written);
+        let order =
+            |(job, attempt): &(JobId, AttemptId)| (job.0 + u32::from(attempt.0)) % (u32::from(choice) + 1);
+        sent.map(|(key, _)| *key).min_by_key(order)
+    }
+
+    fn submit_job(&mut self, choice: u8) {
+        let number = self.jobs.len() as u64;
+        let class = if choice.is_multiple_of(3) { "fund" } else { "render" };
+        let request = format!(
+            "POST /{class} HTTP/1.1\r\nX-Trace-Id: t{number}\r\nIdempotency-Key: k\r\nX-Expires-In: 5000m\r\n\r\n"
+        );
+        let client = ConnectionId::test(number);
+        let id = self.dispatch.job_arrived(client, job_of(&request).unwrap(), self.now).unwrap();
+        self.numbers.insert(id, number);
+        self.jobs.insert(number, ModelJob { client, deadline: self.now + JOB_WAIT, is_over: false });
+        let again = self.dispatch.job_arrived(client, job_of(&request).unwrap(), self.now);
+        assert!(again.is_err(), "a trace id twice");
+    }
+
+    /// Most often the client of the attempt that has just ended, in the same batch of events.
+    fn disconnect_client(&mut self) {
+        let last_ended = self.last_ended.map(|(job, _)| job);
+        let open = self.numbers.iter().filter(|(_, number)| !self.jobs[number].is_over);
+        let chosen = open.max_by_key(|(id, _)| (Some(**id) == last_ended, **id));
+        if let Some((&id, &number)) = chosen {
+            self.jobs.entry(number).and_modify(|job| job.is_over = true);
+            self.dispatch.client_disconnected(id, self.now);
+        }
+    }
+
+    fn replace_list(&mut self, choice: u8) {
+        let count = 1 + u32::from(choice) % 5;
+        let state = if choice.is_multiple_of(2) { "draining" } else { "up" };
+        let change = self.endpoints.apply(complete_list(count, state));
+        self.dispatch.endpoint_list(change.update, change.endpoints);
+        self.replaced_since = None;
+    }
+
+    fn begin_list_answer(&mut self) {
+        let update = ListUpdate::AnswerStarted { at: micros_from_millis(self.now) };
+        self.dispatch.endpoint_list(update, Vec::new());
+        self.replaced_since.get_or_insert(self.now);
+    }
+
+    /// Another process continues with all jobs, unless an attempt is on its way to a worker.
+    fn upgrade(&mut self) {
+        self.write_attempts();
+        self.decide();
+        let Some(migrated) = self.migrated_jobs() else { return };
+        let mut successor = Dispatch::new(Rc::new(config().site), 9, self.now);
+        let endpoints = self.endpoints.apply(complete_list(WORKERS, "up")).endpoints;
+        successor.endpoint_list(ListUpdate::Cached, endpoints);
+        successor.endpoint_list(ListUpdate::Changes, Vec::new());
+        self.replaced_since = None;
+        successor.learned(self.dispatch.learned_state());
+        let attempts_before = std::mem::take(&mut self.attempts);
+        self.numbers.clear();
+        self.last_ended = None;
+        for (old_id, number, job) in migrated {
+            let mut attempts = Vec::new();
+            for attempt in job.attempts {
+                attempts.push((self.endpoints.id(&attempt.worker), attempt));
+            }
+            let request = job_of(std::str::from_utf8(&job.request).unwrap()).unwrap();
+            let client = self.jobs[&number].client;
+            let id = successor.adopt_job(client, request, attempts, job.deferral, self.now).unwrap();
+            self.numbers.insert(id, number);
+            for ((job, attempt_id), attempt) in &attempts_before {
+                if *job == old_id {
+                    self.attempts.insert((id, *attempt_id), attempt.clone());
+                }
+            }
+        }
+        self.dispatch = successor;
+        self.decide();
+    }
+
+    /// All open jobs in the form in which they migrate; `None` if one of them cannot.
+    fn migrated_jobs(&self) -> Option<Vec<(JobId, u64, MigratedJob)>> {
+        let mut migrated = Vec::new();
+        for (&id, &number) in &self.numbers {
+            if !self.jobs[&number].is_over {
+                migrated.push((id, number, self.dispatch.migrated_job(id, self.now)?));
+            }
+        }
+        Some(migrated)
+    }
+
+    /// Connections come up, some of them late: nothing is sent for a client that has disconnected or has its answer, or to
+    /// a worker that is not listed.
+    fn write_attempts(&mut self) {
+        let unwritten = self.attempts.iter().filter(|(_, attempt)| attempt.is_pending && !attempt.is_written);
+        let keys: Vec<(JobId, AttemptId)> = unwritten.map(|(key, _)| *key).collect();
+        for key in keys {
+            let (id, attempt_id) = key;
+            let is_listed = self.endpoints.get(self.attempts[&key].worker).is_some();
+            let request = self.dispatch.begin_attempt(id, attempt_id, is_listed, self.now);
+            let is_over = self.jobs[&self.numbers[&id]].is_over;
+            let attempt = self.attempts.get_mut(&key).unwrap();
+            if let Some(request) = request {
+                assert!(!is_over, "an attempt for nobody");
+                let is_current = self.replaced_since.is_none_or(|since| self.now < since + DRAIN_GRACE);
+                assert!(is_current, "an attempt by a list that was replaced");
+                assert!(request.starts_with(b"POST /"));
+                attempt.is_written = true;
+            } else {
+                attempt.is_pending = false;
+                self.dispatch.attempt_sent(id, attempt_id, End::Withheld, self.now);
+            }
+        }
+    }
+
+    fn wait(&mut self, time: Millis) {
+        self.write_attempts();
+        self.now += time;
+        self.dispatch.run_timers(self.now);
+        self.decide();
+    }
+
+    fn sending_ended(&mut self, id: JobId, attempt_id: AttemptId, end: End) {
+        self.last_ended = Some((id, attempt_id));
+        let attempt = self.attempts.get_mut(&(id, attempt_id)).unwrap();
+        match &end {
+            End::Broken | End::Stale { .. } if attempt.is_accepted => {}
+            End::Answer(answer) if answer.line.status == 202 => attempt.is_accepted = true,
+            _ => attempt.is_pending = false,
+        }
+        self.dispatch.attempt_sent(id, attempt_id, end, self.now);
+    }
+
+    fn send_status(&mut self, id: JobId, attempt_id: AttemptId, status: JobStatus) {
+        self.last_ended = Some((id, attempt_id));
+        let number = self.numbers[&id];
+        let trace_id = format!("t{number}");
+        let attempt = self.attempts.get_mut(&(id, attempt_id)).unwrap();
+        match status {
+            JobStatus::Started | JobStatus::Running(_) => attempt.is_accepted = true,
+            JobStatus::Done(_) | JobStatus::Failed | JobStatus::Returned | JobStatus::Lost => {
+                attempt.is_pending = false;
+            }
+        }
+        let answers_client = matches!(status, JobStatus::Done(_)) && !self.jobs[&number].is_over;
+        let update = JobStatusUpdate {
+            trace_id: trace_id.clone(),
+            worker: attempt.worker_name.clone(),
+            status,
+            report: vec![1.0, 1.0, 2.0],
+        };
+        self.dispatch.job_status(update, self.now);
+        // An update of a worker that never had the job changes nothing.
+        self.dispatch.job_status(done(&trace_id, "s-other"), self.now);
+        if answers_client {
+            self.decide();
+            assert!(self.jobs[&number].is_over, "a result that does not reach its client");
+        }
+    }
+
+    fn decide(&mut self) {
+        loop {
+            for command in self.dispatch.decide(&self.endpoints, self.now) {
+                self.check(command);
+            }
+            if !self.dispatch.has_events() {
+                return;
+            }
+        }
+    }
+
+    fn check(&mut self, command: Command) {
+        match command {
+            Command::Answer(client, answer) => self.check_answer(client, &answer),
+            Command::StartAttempt { job, attempt, worker } => self.check_start(job, attempt, worker),
+            Command::AbandonAttempt(job, attempt) => {
+                let attempt = self.attempts.get_mut(&(job, attempt)).unwrap();
+                assert!(attempt.is_pending && !attempt.is_accepted, "abandoned though accepted or ended");
+                attempt.is_pending = false;
+            }
+            Command::CancelAttempt { worker, trace_id } => self.check_cancellation(worker, &trace_id),
+            Command::CheckHealth(_)
+            | Command::ReleaseJobId(_)
+            | Command::PublishJobEnd(..)
+            | Command::WatchEndpoints
+            | Command::CloseIdleConnections(_) => {}
+        }
+    }
+
+    fn check_answer(&mut self, client: ConnectionId, answer: &Answer) {
+        let job = self.jobs.values_mut().find(|job| job.client == client).unwrap();
+        assert!(!job.is_over, "a second answer");
+        job.is_over = true;
+        let is_late = self.now > job.deadline + ANSWER_SLACK;
+        let deadline_exceeded = *answer == Answer::Failed(Failure::DeadlineExceeded);
+        assert!(!is_late || deadline_exceeded, "{answer:?} long after the deadline");
+    }
+
+    fn check_start(&mut self, job: JobId, attempt_id: AttemptId, worker: WorkerId) {
+        assert!(!self.jobs[&self.numbers[&job]].is_over, "an attempt after the end");
+        let worker_name = self.endpoints.get(worker).expect("an attempt at a listed worker").name.to_string();
+        for ((other, _), attempt) in &self.attempts {
+            let is_same = *other == job && attempt.worker == worker;
+            assert!(!is_same || !attempt.is_pending, "two pending attempts at one worker");
+        }
+        let attempt =
+            ModelAttempt { worker, worker_name, is_accepted: false, is_pending: true, is_written: false };
+        let before = self.attempts.insert((job, attempt_id), attempt);
+        assert!(before.is_none(), "an attempt id twice");
+    }
+
+    fn check_cancellation(&mut self, worker: WorkerId, trace_id: &str) {
+        for ((job, _), attempt) in &mut self.attempts {
+            let is_meant = *trace_id == format!("t{}", self.numbers[job]) && attempt.worker == worker;
+            if is_meant && attempt.is_pending && attempt.is_accepted {
+                attempt.is_pending = false;
+                return;
+            }
+        }
+        panic!("cancelled though not accepted or ended");
+    }
+}
