--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -7,7 +7,8 @@
 const GET: &str = "GET";
 const PUT: &str = "PUT";
 
-/// What operators can request from a running scheduler. Each request can be repeated without a further effect.
+/// What operators can request from a running scheduler. Each request can be repeated without a further
+/// effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum AdminRequest {
     /// Whether this process takes clients.
--- a/crates/node/src/clock.rs
+++ b/crates/node/src/clock.rs
@@ -21,8 +21,8 @@
     times.into_iter().flatten().reduce(f64::min)
 }
 
-/// Milliseconds since 1970 on a clock that only moves forward: the system's clock is read once, and a monotonic one
-/// continues from there.
+/// Milliseconds since 1970 on a clock that only moves forward: the system's clock is read once, and a
+/// monotonic one continues from there.
 #[derive(Clone)]
 pub struct Clock(Source);
 
@@ -60,8 +60,8 @@
     }
 }
 
-/// Timers that carry a value. They expire in the order of their times; at one time, in the order in which they were
-/// set.
+/// Timers that carry a value. They expire in the order of their times; at one time, in the order in which
+/// they were set.
 pub struct Timers<T> {
     heap: BinaryHeap<Timer<T>>,
     /// The number of timers that were set so far.
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -17,8 +17,8 @@
 const MIN_DESCRIPTORS: usize = 64;
 /// The memory limit that is assumed for a file without one: the smallest that a deployment gives.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// The memory limit divided by the largest endpoint list. While a list is read, it is in memory twice beside the list
-/// held: as text and as entries.
+/// The memory limit divided by the largest endpoint list. While a list is read, it is in memory twice beside
+/// the list held: as text and as entries.
 const MEMORY_PER_LIST: f64 = 8.0;
 /// The limit of an endpoint list is never below this many bytes, so that the list of the largest fleet fits.
 const MIN_LIST_LIMIT: usize = 2 << 20;
--- a/crates/node/src/connection_id.rs
+++ b/crates/node/src/connection_id.rs
@@ -1,6 +1,7 @@
 //! Ids of connections, for modules that refer to connections without owning them.
 
-/// Identifies a connection. Its slot may be used again by another connection, which has another serial number then.
+/// Identifies a connection. Its slot may be used again by another connection, which has another serial number
+/// then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId {
     /// Where the event loop keeps the connection.
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -2,36 +2,35 @@
 
 use crate::clock::Millis;
 use crate::http::{self, Decoder, Fault, Message, Outbox, RequestLine, StatusLine};
-use postusher_decision::EndpointState;
-use serde::{Deserialize, Deserializer};
-use serde_json::value::RawValue;
 use std::net::SocketAddr;
-use std::str::Utf8Error;
 use thiserror::Error;
 
+mod list;
+
+pub use list::{Entry, List, ListError};
+
 const PATH: &str = "/discovery/hosts";
 const OK: u16 = 200;
 const OK_TEXT: &[u8] = b"200";
 const CONTENT_TOO_LARGE: Fault = Fault(413);
 
-/// The time for which discovery may hold a call while nothing changes. A watch that falls silent shows only after it;
-/// until then draining and removed workers count as they were.
+/// The time for which discovery may hold a call while nothing changes. A watch that falls silent shows only
+/// after it; until then draining and removed workers count as they were.
 pub const MAX_WAIT: Millis = 4_000.0;
-/// The time for which an answer may be late. What a silent watch would have said counts as notified 2 s after the wait,
-/// so that this leaves time to call again.
+/// The time for which an answer may be late. What a silent watch would have said counts as notified 2 s after
+/// the wait, so that this leaves time to call again.
 const LATE_ANSWER: Millis = 1_000.0;
-/// The time limit of a call for changes, whether it waits or not. A busy discovery has the call in its queue, and each
-/// call that is repeated too early makes the queue longer.
+/// The time limit of a call for changes, whether it waits or not. A busy discovery has the call in its queue,
+/// and each call that is repeated too early makes the queue longer.
 const CHANGES_LIMIT: Millis = MAX_WAIT + LATE_ANSWER;
-/// The time limit of a call for the complete list. When discovery has moved, its list counts as notified 4 s later, and a
-/// lost call has to be repeated before that.
+/// The time limit of a call for the complete list. When discovery has moved, its list counts as notified 4 s
+/// later, and a lost call has to be repeated before that.
 const COMPLETE_LIST_LIMIT: Millis = 3_000.0;
-/// An answer that has begun and brings nothing more for this time was cut off: what it says counts as notified already.
+/// An answer that has begun and brings nothing more for this time was cut off: what it says counts as
+/// notified already.
 pub const STALLED: Millis = 300.0;
 /// The bytes in front of the status in an answer: `HTTP/1.1` and a blank.
 const BYTES_BEFORE_STATUS: usize = 9;
-/// The weight of a worker whose entry has none.
-const DEFAULT_WEIGHT: f64 = 1.0;
 
 /// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,110 +61,6 @@
     }
 }
 
-/// An endpoint list, or changes to one.
-#[derive(Debug, Default)]
-pub struct List {
-    /// Its version, if it has one.
-    pub version: Option<u64>,
-    /// It names all endpoints, not only those that changed.
-    pub is_complete: bool,
-    /// Its entries.
-    pub entries: Vec<Entry>,
-}
-
-/// One worker's entry in a list.
-#[derive(Debug, Deserialize)]
-pub struct Entry {
-    /// The worker's name, the same at all schedulers.
-    #[serde(rename = "id")]
-    pub name: String,
-    /// Where it listens.
-    pub addr: SocketAddr,
-    /// Its zone's name.
-    #[serde(default)]
-    pub zone: String,
-    /// The name of its machine kind.
-    #[serde(default)]
-    pub kind: String,
-    /// Its cell.
-    #[serde(default)]
-    pub cell: u16,
-    /// Whether it gets jobs.
-    #[serde(deserialize_with = "endpoint_state")]
-    pub state: EndpointState,
-    /// Its capacity relative to others.
-    #[serde(default = "default_weight")]
-    pub weight: f64,
-    /// Its last start, in Unix time; 0 for long ago.
-    #[serde(rename = "started_ms", default)]
-    pub started_at: Millis,
-}
-
-/// A worker in a state that is not known here gets nothing new.
-fn endpoint_state<'de, D: Deserializer<'de>>(deserializer: D) -> Result<EndpointState, D::Error> {
-    let name = String::deserialize(deserializer)?;
-    Ok(match name.as_str() {
-        "up" => EndpointState::Ready,
-        "removed" => EndpointState::Removed,
-        _ => EndpointState::Draining,
-    })
-}
-
-fn default_weight() -> f64 {
-    DEFAULT_WEIGHT
-}
-
-/// The form of a list, with its parts unread.
-#[derive(Deserialize)]
-struct ListForm<'a> {
-    #[serde(borrow, default)]
-    version: Option<&'a RawValue>,
-    #[serde(rename = "full", borrow, default)]
-    is_complete: Option<&'a RawValue>,
-    #[serde(rename = "servers", borrow)]
-    entries: Vec<&'a RawValue>,
-}
-
-impl List {
-    /// Reads a list. An entry that cannot be read is left out, and the others are used. Memory and time are in
-    /// proportion to the text.
-    ///
-    /// # Errors
-    /// The text as a whole is not a list.
-    pub fn read(text: &str) -> Result<List, ListError> {
-        let form: ListForm =
-            serde_json::from_str(text).map_err(|error| ListError::Malformed(error.to_string()))?;
-        let mut entries = Vec::new();
-        for entry in &form.entries {
-            match serde_json::from_str(entry.get()) {
-                Ok(entry) => entries.push(entry),
-                Err(error) => log::warn!("endpoint entry not read: error={error}"),
-            }
-        }
-        Ok(List {
-            version: value_or_none(form.version),
-            is_complete: value_or_none(form.is_complete).unwrap_or(false),
-            entries,
-        })
-    }
-}
-
-/// A value that may be missing; one of another type counts as missing.
-fn value_or_none<'a, T: Deserialize<'a>>(raw: Option<&'a RawValue>) -> Option<T> {
-    serde_json::from_str(raw?.get()).ok()
-}
-
-/// Why a text is not an endpoint list.
-#[derive(Clone, Debug, Error, PartialEq)]
-pub enum ListError {
-    /// It is not UTF-8.
-    #[error(transparent)]
-    NotUtf8(#[from] Utf8Error),
-    /// It is not JSON of the form of a list, with the parser's reason.
-    #[error("{0}")]
-    Malformed(String),
-}
-
 /// Why a call to discovery brought no list.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum DiscoveryError {
@@ -204,8 +99,8 @@
 }
 
 impl DiscoveryError {
-    /// Whether discovery has begun to answer with a list. What that says counts as notified, though it is not known
-    /// here.
+    /// Whether discovery has begun to answer with a list. What that says counts as notified, though it is not
+    /// known here.
     pub fn hides_list(&self) -> bool {
         match self {
             DiscoveryError::EndedInAnswer
@@ -269,8 +164,8 @@
         }
     }
 
-    /// Whether an answer with a list has begun and is not complete. The status decides, as an error may come in pieces,
-    /// too.
+    /// Whether an answer with a list has begun and is not complete. The status decides, as an error may come
+    /// in pieces, too.
     pub fn has_begun(&self) -> bool {
         match self.decoder.begun_line() {
             Some(line) => line.status == OK,
@@ -284,7 +179,8 @@
     /// The connection has ended, and with it an answer without a length.
     ///
     /// # Errors
-    /// There was no answer, or it is not a list. An answer without a length that was cut off is not a list, either.
+    /// There was no answer, or it is not a list. An answer without a length that was cut off is not a list,
+    /// either.
     pub fn end(&mut self) -> Result<Answer, DiscoveryError> {
         let has_begun = self.has_begun();
         match self.decoder.end() {
--- a/crates/node/src/discovery/tests.rs
+++ b/crates/node/src/discovery/tests.rs
@@ -53,14 +53,14 @@
 
 #[test]
 fn time_limits_of_calls_suit_a_busy_and_a_silent_discovery() {
-    // A busy discovery still has the first call in its queue, and a repeated one would make the queue longer. A silent
-    // watch must be repeated before what it had to say counts as notified, 2 s after the wait.
+    // A busy discovery still has the first call in its queue, and a repeated one would make the queue longer.
+    // A silent watch must be repeated before what it had to say counts as notified, 2 s after the wait.
     for wait in [0.0, MAX_WAIT] {
         let limit = Call { after: Some(1), wait }.limit();
         assert!((4_000.0..=MAX_WAIT + 1_500.0).contains(&limit));
     }
-    // When discovery has moved, its list counts as notified 4 s later: a lost call is repeated before that, but not while
-    // it may be queued.
+    // When discovery has moved, its list counts as notified 4 s later: a lost call is repeated before that,
+    // but not while it may be queued.
     let limit = Call { after: None, wait: 0.0 }.limit();
     assert!((2_000.0..4_000.0 - 500.0).contains(&limit));
 }
--- a/crates/node/src/dispatch/answers.rs
+++ b/crates/node/src/dispatch/answers.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// The decision module rejects a job. One that was deferred before and had no attempt yet is deferred again, if
-    /// it can still wait.
+    /// The decision module rejects a job. One that was deferred before and had no attempt yet is deferred
+    /// again, if it can still wait.
     fn rejected(&mut self, id: JobId, retry_after: Millis, now: Millis) {
         if let Some(job) = self.jobs.get_mut(&id) {
             if !job.is_answered() && job.attempts.is_empty() {
@@ -89,20 +89,21 @@
 
     /// Gives a job its one final answer; a second one is ignored.
     pub(super) fn answer(&mut self, id: JobId, answer: Answer, now: Millis) {
-        let Some(open) = self.jobs.get_mut(&id).filter(|open| !open.is_answered()) else { return };
-        open.phase = JobPhase::Answered;
-        let (job, trace_id) = (&open.job, open.trace_id.clone());
+        let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.is_answered()) else { return };
+        job.phase = JobPhase::Answered;
+        let trace_id = job.trace_id.clone();
+        let submission = &job.submission;
         if !matches!(answer, Answer::Served(_)) {
             log::debug!(
                 "job not served: trace_id={trace_id} class={} customer={} slots={} answer={answer:?}",
-                job.class,
-                job.customer,
-                job.slots
+                submission.class,
+                submission.customer,
+                submission.slots
             );
         }
         let status = answer.kind();
-        self.metrics.ended(job.class, job.customer, status);
-        self.commands.push(Command::Answer(open.client, answer));
+        self.metrics.ended(submission.class, submission.customer, status);
+        self.commands.push(Command::Answer(job.client, answer));
         self.to_review.push(id);
         self.publish_job_end(trace_id, status.into(), now);
     }
--- a/crates/node/src/dispatch/arrivals.rs
+++ b/crates/node/src/dispatch/arrivals.rs
@@ -50,12 +50,13 @@
     /// Defers a job that has just arrived; one that cannot be deferred is forgotten.
     fn defer(&mut self, id: JobId, now: Millis) -> Result<(), JobNotAccepted> {
         let Some(job) = self.jobs.get_mut(&id) else { return Ok(()) };
-        let held = self.deferred.hold(id, job.client.number(), &job.job, job.deadline, now);
+        let held = self.deferred.hold(id, job.client.number(), &job.submission, job.deadline, now);
         let Err(error) = held else {
             job.phase = JobPhase::Deferred;
             return Ok(());
         };
-        let (class, customer) = (job.job.class, job.job.customer);
+        let class = job.submission.class;
+        let customer = job.submission.customer;
         let answer = self.answer_not_deferred(error);
         self.metrics.ended(class, customer, answer.kind());
         self.forget(id);
@@ -112,8 +113,8 @@
         }
     }
 
-    /// A job moves here from another process of this scheduler, with the attempts that were made there or as a
-    /// deferred job.
+    /// A job moves here from another process of this scheduler, with the attempts that were made there or as
+    /// a deferred job.
     ///
     /// # Errors
     /// Why the job is not accepted; its client has to get an answer for it.
@@ -143,7 +144,7 @@
         now: Millis,
     ) -> Result<(), JobNotAccepted> {
         let Some(job) = self.jobs.get_mut(&id) else { return Ok(()) };
-        if self.deferred.adopt(id, job.client.number(), &job.job, job.deadline, deferral, now) {
+        if self.deferred.adopt(id, job.client.number(), &job.submission, job.deadline, deferral, now) {
             job.phase = JobPhase::Deferred;
             return Ok(());
         }
@@ -165,8 +166,8 @@
         self.events.push(Event::JobAdopted { job: job.for_decision(id), attempts: prior_attempts });
     }
 
-    /// A job in the form in which another process continues with it; `None` if it cannot move, as an attempt is still
-    /// on its way to its worker or the job has its answer.
+    /// A job in the form in which another process continues with it; `None` if it cannot move, as an attempt
+    /// is still on its way to its worker or the job has its answer.
     pub fn migrated_job(&self, id: JobId, now: Millis) -> Option<MigratedJob> {
         let job = self.jobs.get(&id).filter(|job| job.can_migrate())?;
         Some(job.migrated(self.deferred.parcel(id, now), now))
--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -21,8 +21,8 @@
 const HEALTHY: u16 = 200;
 
 impl Dispatch {
-    /// A worker has sent a job status update. One that is late or repeated, or for a job that is not here, changes
-    /// nothing.
+    /// A worker has sent a job status update. One that is late or repeated, or for a job that is not here,
+    /// changes nothing.
     pub fn job_status(&mut self, update: JobStatusUpdate, now: Millis) {
         let Some(id) = self.by_trace_id.get(update.trace_id.as_str()).copied() else { return };
         let Some(job) = self.jobs.get_mut(&id) else { return };
@@ -54,8 +54,8 @@
         self.end_attempt(id, attempt_id, result, update.report, now);
     }
 
-    /// A worker without a pending attempt has sent a job status update. A result is the client's all the same: the
-    /// attempt may have ended here only because its acknowledgement was lost.
+    /// A worker without a pending attempt has sent a job status update. A result is the client's all the
+    /// same: the attempt may have ended here only because its acknowledgement was lost.
     fn status_of_ended_attempt(&mut self, id: JobId, update: JobStatusUpdate, now: Millis) {
         let JobStatus::Done(result) = update.status else { return };
         let Some(job) = self.jobs.get(&id) else { return };
@@ -165,9 +165,9 @@
         self.commands.push(Command::StartAttempt { job: id, attempt, worker });
     }
 
-    /// The request of an attempt whose connection is up; `None` if [`postusher_decision::Dispatcher::check_send`]
-    /// forbids to send it, which is logged and counted. `address_current`: the connection leads to the worker's
-    /// address on the endpoint list.
+    /// The request of an attempt whose connection is up; `None` if
+    /// [`postusher_decision::Dispatcher::check_send`] forbids to send it, which is logged and counted.
+    /// `address_current`: the connection leads to the worker's address on the endpoint list.
     pub fn begin_attempt(
         &mut self,
         id: JobId,
@@ -185,7 +185,8 @@
             time_left: micros_from_millis(time_left.max(0.0)),
             address_current,
         };
-        let (trace_id, worker) = (&job.trace_id, &attempt.worker_name);
+        let trace_id = &job.trace_id;
+        let worker = &attempt.worker_name;
         if let Err(denial) = self.dispatcher.check_send(&context, micros_from_millis(now)) {
             log::debug!(
                 "attempt denied: trace_id={trace_id} attempt={attempt_id} worker={worker} reason={denial:?}"
@@ -196,7 +197,7 @@
         log::debug!(
             "attempt sent: trace_id={trace_id} attempt={attempt_id} worker={worker} left_ms={time_left:.0}"
         );
-        Some(job.job.payload.request(time_left))
+        Some(job.submission.payload.request(time_left))
     }
 
     /// Cancels an attempt, if it is pending.
@@ -215,16 +216,17 @@
         match attempt.state {
             AttemptState::Sending => self.commands.push(Command::AbandonAttempt(id, attempt_id)),
             AttemptState::Accepted if self.site.settings.cancellation_allowed => {
-                let (worker, trace_id) = (attempt.worker, job.trace_id.clone());
-                self.commands.push(Command::CancelAttempt { worker, trace_id });
+                let cancellation =
+                    Command::CancelAttempt { worker: attempt.worker, trace_id: job.trace_id.clone() };
+                self.commands.push(cancellation);
             }
             AttemptState::Accepted | AttemptState::Ended { .. } => {}
         }
         self.end_attempt(id, attempt_id, result, Vec::new(), now);
     }
 
-    /// Ends an attempt, which happens once to each. `report` is the load report that came with its end; it is empty
-    /// where none came.
+    /// Ends an attempt, which happens once to each. `report` is the load report that came with its end; it is
+    /// empty where none came.
     fn end_attempt(
         &mut self,
         id: JobId,
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -1,6 +1,6 @@
-//! Between the network and the decision module: what has happened goes in as one batch of events, and the actions that
-//! come back go out as commands for the event loop. Job ids, attempts and timers are kept here; sockets and decisions
-//! are not.
+//! Between the network and the decision module: what has happened goes in as one batch of events, and the
+//! actions that come back go out as commands for the event loop. Job ids, attempts and timers are kept here;
+//! sockets and decisions are not.
 
 mod answers;
 mod arrivals;
@@ -25,7 +25,8 @@
 pub enum Command {
     /// Send a client its final answer.
     Answer(ConnectionId, Answer),
-    /// Make an attempt at a worker; [`Dispatch::begin_attempt`] has what it is sent once its connection is up.
+    /// Make an attempt at a worker; [`Dispatch::begin_attempt`] has what it is sent once its connection is
+    /// up.
     StartAttempt {
         /// The job.
         job: JobId,
@@ -172,8 +173,8 @@
         self.events.push(Event::WorkerEnabled(worker));
     }
 
-    /// Limits the deadlines of the jobs that arrive from now on to the end of the shutdown, as the process does not
-    /// outlive it.
+    /// Limits the deadlines of the jobs that arrive from now on to the end of the shutdown, as the process
+    /// does not outlive it.
     pub fn set_shutdown_deadline(&mut self, at: Millis) {
         self.shutdown_deadline = at;
     }
--- a/crates/node/src/dispatch/open_job.rs
+++ b/crates/node/src/dispatch/open_job.rs
@@ -23,7 +23,8 @@
 pub(super) struct OpenJob {
     pub client: ConnectionId,
     pub trace_id: Rc<str>,
-    pub job: Job,
+    /// What the client submitted.
+    pub submission: Job,
     pub deadline: Millis,
     pub phase: JobPhase,
     /// The attempt that ended last was rejected as a job that cannot be run.
@@ -34,11 +35,11 @@
 
 impl OpenJob {
     /// A job that the decision module gets next.
-    pub fn new(client: ConnectionId, job: Job, deadline: Millis) -> OpenJob {
+    pub fn new(client: ConnectionId, submission: Job, deadline: Millis) -> OpenJob {
         OpenJob {
             client,
-            trace_id: Rc::from(job.trace_id.as_str()),
-            job,
+            trace_id: Rc::from(submission.trace_id.as_str()),
+            submission,
             deadline,
             phase: JobPhase::Dispatched,
             last_unprocessable: false,
@@ -60,12 +61,12 @@
     pub fn for_decision(&self, id: JobId) -> postusher_decision::Job {
         postusher_decision::Job {
             id,
-            class: self.job.class,
+            class: self.submission.class,
             deadline: micros_from_millis(self.deadline),
-            size_hint: self.job.size_hint,
-            slots: self.job.slots,
-            key: self.job.key,
-            customer: self.job.customer,
+            size_hint: self.submission.size_hint,
+            slots: self.submission.slots,
+            key: self.submission.key,
+            customer: self.submission.customer,
         }
     }
 
@@ -92,8 +93,8 @@
         self.attempts.iter().any(|attempt| attempt.is_pending() && attempt.worker == worker)
     }
 
-    /// Whether another process can continue with it: no attempt is on its way to a worker, as the connection for it
-    /// belongs to this process.
+    /// Whether another process can continue with it: no attempt is on its way to a worker, as the connection
+    /// for it belongs to this process.
     pub fn can_migrate(&self) -> bool {
         let on_its_way = |attempt: &Attempt| attempt.state == AttemptState::Sending;
         !self.is_answered() && !self.attempts.iter().any(on_its_way)
@@ -102,7 +103,7 @@
     /// The job in the form in which another process continues with it.
     pub fn migrated(&self, deferral: Option<MigratedDeferral>, now: Millis) -> MigratedJob {
         MigratedJob {
-            request: self.job.payload.request(self.deadline - now),
+            request: self.submission.payload.request(self.deadline - now),
             closes_connection: false,
             attempts: self.attempts.iter().map(|attempt| attempt.migrated(now)).collect(),
             deferral,
--- a/crates/node/src/endpoint_list.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! The workers on discovery's endpoint list with their ids, those that operators have disabled, and the next call to
-//! discovery.
+//! The workers on discovery's endpoint list with their ids, those that operators have disabled, and the next
+//! call to discovery.
 
 use crate::discovery::{Call, Entry, List, MAX_WAIT};
 use crate::stable_hash::fnv1a;
@@ -23,8 +23,8 @@
 /// The endpoint list as this scheduler holds it.
 pub struct EndpointList {
     workers: HashMap<WorkerId, ListedWorker>,
-    /// The ids of all workers that are listed or disabled. A name whose hash another name had first has the next id, and
-    /// keeps it when that other worker is removed.
+    /// The ids of all workers that are listed or disabled. A name whose hash another name had first has the
+    /// next id, and keeps it when that other worker is removed.
     ids: HashMap<Rc<str>, WorkerId>,
     /// The names of the workers that operators have disabled, whether they are listed or not.
     disabled: BTreeMap<WorkerId, Rc<str>>,
@@ -140,8 +140,8 @@
         self.is_confirmed = confirmed;
     }
 
-    /// The id of a worker: the one that it has, else one by the hash of its name, so that all schedulers find the same
-    /// worker for a key; the next one where another worker has that id.
+    /// The id of a worker: the one that it has, else one by the hash of its name, so that all schedulers find
+    /// the same worker for a key; the next one where another worker has that id.
     pub fn id(&self, name: &str) -> WorkerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -177,7 +177,8 @@
         }
     }
 
-    /// An operator disables a worker; `None` if it is neither listed nor disabled, as the name may be mistyped.
+    /// An operator disables a worker; `None` if it is neither listed nor disabled, as the name may be
+    /// mistyped.
     pub fn disable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         let name = self.name(id)?.clone();
@@ -197,7 +198,8 @@
         self.disabled.values().map(|name| &**name)
     }
 
-    /// An operator enables a worker, however often it was disabled; `None` if it is neither listed nor disabled.
+    /// An operator enables a worker, however often it was disabled; `None` if it is neither listed nor
+    /// disabled.
     pub fn enable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         self.name(id)?;
@@ -206,9 +208,9 @@
         Some(id)
     }
 
-    /// The next call to discovery: for the changes since the version held, or for the complete list if none is held.
-    /// After a start or a failed call it does not wait for changes, as nobody would know in that time whether the list
-    /// held is still right.
+    /// The next call to discovery: for the changes since the version held, or for the complete list if none
+    /// is held. After a start or a failed call it does not wait for changes, as nobody would know in that
+    /// time whether the list held is still right.
     pub fn next_call(&self) -> Call {
         Call { after: self.version, wait: if self.is_confirmed { MAX_WAIT } else { 0.0 } }
     }
--- a/crates/node/src/endpoint_list/tests.rs
+++ b/crates/node/src/endpoint_list/tests.rs
@@ -95,7 +95,7 @@
 /// Two names whose hashes share 32 bits; among 200,000 names there are some.
 fn colliding_names() -> (String, String) {
     let mut seen = HashMap::new();
-    for name in (0..).map(|n| format!("s-{n:08x}")) {
+    for name in (0..).map(|number| format!("s-{number:08x}")) {
         if let Some(other) = seen.insert(fnv1a(name.as_bytes()) as u32, name.clone()) {
             return (other, name);
         }
@@ -107,7 +107,9 @@
 #[test]
 fn a_large_list_is_applied_whole_and_shows_who_was_removed() {
     let mut endpoints = EndpointList::new(&config().site);
-    let all = |from: usize| (from..from + 3_200).map(|n| server(&format!("s-{n}"), "up")).collect::<Vec<_>>();
+    let all = |from: usize| -> Vec<Value> {
+        (from..from + 3_200).map(|number| server(&format!("s-{number}"), "up")).collect()
+    };
     assert_eq!(endpoints.apply(list(true, json!(all(0)))).endpoints.len(), 3_200);
     let next = endpoints.apply(list(true, json!(all(1_600))));
     assert_eq!(
--- a/crates/node/src/golden_tests.rs
+++ b/crates/node/src/golden_tests.rs
@@ -1,5 +1,5 @@
-//! Golden files: the bytes that this program sends to others stay as they are, and what an older version sent is still
-//! read. `UPDATE_GOLDEN=1` writes the files anew, for a deliberate change of a format.
+//! Golden files: the bytes that this program sends to others stay as they are, and what an older version sent
+//! is still read. `UPDATE_GOLDEN=1` writes the files anew, for a deliberate change of a format.
 
 use crate::admin::AdminRequest;
 use crate::answer::{Answer, Failure};
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -1,10 +1,11 @@
-//! Reads the requests of clients and workers into jobs that are neutral to their protocol. A second protocol would get
-//! a reader beside [`read`] that makes the same [`Job`], and so come under the same decisions and rules.
+//! Reads the requests of clients and workers into jobs that are neutral to their protocol. A second protocol
+//! would get a reader beside [`read`] that makes the same [`Job`], and so come under the same decisions and
+//! rules.
 
 use crate::clock::Millis;
 use crate::deferral::StartConditions;
 use crate::header_values::MICROSECOND;
-use crate::http::{self, Fault, Headers, Message, RequestLine};
+use crate::http::{Headers, Message, RequestLine};
 use crate::stable_hash::fnv1a;
 use crate::worker_protocol::{
     CLASS_HEADER, CUSTOMER_HEADER, EXPIRY_HEADER, IDEMPOTENCY_KEY_HEADER, JOB_STATUS_PATH, KEY_HEADER,
@@ -12,31 +13,18 @@
 };
 use postusher_decision::{Idempotency, Micros};
 use postusher_settings::{micros_from_millis, NamedClass, SiteSettings};
-use thiserror::Error;
+
+mod error;
+mod payload;
 
 pub use crate::header_values::{duration as millis, is_trace_id as is_id};
+pub use error::IntakeError;
+pub use payload::Payload;
 
 /// The number of a customer that the settings do not have: its jobs are accepted, without a quota.
 pub const UNKNOWN_CUSTOMER: u16 = u16::MAX;
 /// The most slots that a job can take; no machine has more.
 const MAX_SLOTS: u16 = 1024;
-/// Headers that a worker gets even where `Connection` names them, as it acts on them.
-const ALWAYS_PASSED_HEADERS: [&str; 6] =
-    [TRACE_ID_HEADER, CLASS_HEADER, KEY_HEADER, SIZE_HINT_HEADER, PROPERTIES_HEADER, IDEMPOTENCY_KEY_HEADER];
-/// Headers that concern one connection, and those that are written anew for each attempt.
-const NEVER_PASSED_HEADERS: [&str; 11] = [
-    "connection",
-    "keep-alive",
-    "proxy-connection",
-    "proxy-authorization",
-    "te",
-    "trailer",
-    "transfer-encoding",
-    "upgrade",
-    "expect",
-    "content-length",
-    EXPIRY_HEADER,
-];
 
 /// What a scheduler has to know about a job.
 pub struct Job {
@@ -60,13 +48,6 @@
     pub payload: Payload,
 }
 
-/// The part of a client's request that is meant for the worker.
-pub struct Payload {
-    line: RequestLine,
-    headers: Headers,
-    body: Vec<u8>,
-}
-
 /// What a client or a worker requests.
 pub enum IncomingRequest {
     /// Whether the scheduler takes jobs.
@@ -79,75 +60,8 @@
     Invalid(u16),
 }
 
-/// Why a request is not accepted.
-#[derive(Clone, Copy, Debug, Error, PartialEq)]
-pub enum IntakeError {
-    /// The path does not begin with a slash.
-    #[error("the path does not begin with a slash")]
-    MalformedPath,
-    /// The path or a header names a class that the settings do not have.
-    #[error("there is no such class")]
-    UnknownClass,
-    /// The path and a header name different classes.
-    #[error("the path and the header name different classes")]
-    ContradictoryClass,
-    /// The path takes other methods.
-    #[error("the path does not take this method")]
-    MethodNotAllowed,
-    /// A header that must stand once stands twice, or is not text.
-    #[error("a header stands twice or is not text")]
-    MalformedHeader(Fault),
-    /// The trace id is missing, or cannot stand in a path.
-    #[error("the trace id is missing or malformed")]
-    InvalidTraceId,
-    /// The time for the answer is not a duration with a unit.
-    #[error("the expiry is no duration with a unit")]
-    InvalidExpiry,
-    /// The estimate of the running time is not a duration.
-    #[error("the size hint is no duration")]
-    InvalidSizeHint,
-    /// A property has no value, or one that is not allowed.
-    #[error("a property has no value, or one that is not allowed")]
-    InvalidProperties,
-    /// The class requires an idempotency key.
-    #[error("the class requires an idempotency key")]
-    MissingIdempotencyKey,
-    /// The client expects something that HTTP does not have.
-    #[error("the expectation is not known")]
-    UnsupportedExpectation,
-    /// A condition for the start cannot be read.
-    #[error("a condition for the start cannot be read")]
-    InvalidStartCondition,
-}
-
-impl From<Fault> for IntakeError {
-    fn from(fault: Fault) -> IntakeError {
-        IntakeError::MalformedHeader(fault)
-    }
-}
-
-impl IntakeError {
-    /// The HTTP status that says so.
-    pub fn status(self) -> u16 {
-        match self {
-            IntakeError::UnknownClass => 404,
-            IntakeError::MethodNotAllowed => 405,
-            IntakeError::UnsupportedExpectation => 417,
-            IntakeError::MalformedHeader(fault) => fault.0,
-            IntakeError::MalformedPath
-            | IntakeError::ContradictoryClass
-            | IntakeError::InvalidTraceId
-            | IntakeError::InvalidExpiry
-            | IntakeError::InvalidSizeHint
-            | IntakeError::InvalidProperties
-            | IntakeError::MissingIdempotencyKey
-            | IntakeError::InvalidStartCondition => 400,
-        }
-    }
-}
-
-/// Reads a request of a client or a worker. `deferral_enabled`: jobs can be deferred; where they cannot, the headers for
-/// that have no meaning here and are passed on.
+/// Reads a request of a client or a worker. `deferral_enabled`: jobs can be deferred; where they cannot, the
+/// headers for that have no meaning here and are passed on.
 pub fn read(message: Message<RequestLine>, site: &SiteSettings, deferral_enabled: bool) -> IncomingRequest {
     let method = message.line.method.as_str();
     let error = match path(&message.line) {
@@ -167,8 +81,8 @@
     line.target.split('?').next().unwrap_or("")
 }
 
-/// Reads a job. All headers that this scheduler or a worker acts on must stand there once and be readable, as a worker
-/// would otherwise reject the job or take it for another.
+/// Reads a job. All headers that this scheduler or a worker acts on must stand there once and be readable, as
+/// a worker would otherwise reject the job or take it for another.
 fn read_job(
     message: Message<RequestLine>,
     site: &SiteSettings,
@@ -296,36 +210,5 @@
     Ok(number.map_or(UNKNOWN_CUSTOMER, |number| number as u16))
 }
 
-impl Payload {
-    /// The memory that it takes, in bytes, as far as it grows with the request.
-    pub fn size(&self) -> usize {
-        let headers: usize = self.headers.0.iter().map(|(name, value)| name.len() + value.len()).sum();
-        self.line.target.len() + headers + self.body.len()
-    }
-
-    /// The request for a worker whose answer is wanted within this time.
-    pub fn request(&self, time_left: Millis) -> Vec<u8> {
-        let micros = (time_left.max(0.0) * 1e3) as u64;
-        let expiry = format!("{micros}u");
-        let mut headers: Vec<(&str, &[u8])> = Vec::new();
-        for (name, value) in &self.headers.0 {
-            if self.is_passed(name) {
-                headers.push((name, value));
-            }
-        }
-        headers.push((EXPIRY_HEADER, expiry.as_bytes()));
-        http::request(&self.line, &headers, &self.body)
-    }
-
-    /// Whether a worker gets a header of the client's request. Those that `Connection` names are for this scheduler.
-    fn is_passed(&self, name: &str) -> bool {
-        let is_in = |names: &[&str]| names.iter().any(|other| other.eq_ignore_ascii_case(name));
-        if is_in(&NEVER_PASSED_HEADERS) {
-            return false;
-        }
-        is_in(&ALWAYS_PASSED_HEADERS) || !self.headers.names("connection", name)
-    }
-}
-
 #[cfg(test)]
 pub mod tests;
--- a/crates/node/src/invariant.rs
+++ b/crates/node/src/invariant.rs
@@ -13,9 +13,11 @@
     AttemptEndedOnce,
     /// Only an idle connection gets a request.
     ConnectionIdle,
-    /// No attempt starts by an endpoint list that discovery has begun to replace, once the drain grace has passed.
+    /// No attempt starts by an endpoint list that discovery has begun to replace, once the drain grace has
+    /// passed.
     ListCurrent,
-    /// A read has a buffer. Without one, as within another read, it would look like the end of the connection.
+    /// A read has a buffer. Without one, as within another read, it would look like the end of the
+    /// connection.
     RoomToRead,
 }
 
--- a/crates/node/src/job_status.rs
+++ b/crates/node/src/job_status.rs
@@ -77,7 +77,8 @@
     }
 }
 
-/// A load report in the order of the settings, where a missing value is not a number; empty where all are missing.
+/// A load report in the order of the settings, where a missing value is not a number; empty where all are
+/// missing.
 fn report(site: &SiteSettings, value: impl Fn(&str) -> Option<f64>) -> Vec<f64> {
     let mut values = Vec::new();
     let mut is_empty = true;
@@ -105,8 +106,8 @@
     }
 }
 
-/// Reads a load report from a header such as `TEXT inflight=7, queue=2`, or from the body of a health check, which has
-/// the same form or is JSON.
+/// Reads a load report from a header such as `TEXT inflight=7, queue=2`, or from the body of a health check,
+/// which has the same form or is JSON.
 pub fn report_from_text(text: &str, site: &SiteSettings) -> Vec<f64> {
     if let Ok(json) = serde_json::from_str::<Value>(text) {
         return report(site, |name| json.get(name)?.as_f64());
--- a/crates/node/src/model/connections.rs
+++ b/crates/node/src/model/connections.rs
@@ -14,8 +14,8 @@
 proptest! {
     #![proptest_config(fixed_seed(256))]
 
-    /// Requests are handed on whole, in order and one at a time; the answers go out in the same order, and nothing follows
-    /// the last.
+    /// Requests are handed on whole, in order and one at a time; the answers go out in the same order, and
+    /// nothing follows the last.
     #[test]
     fn a_downstream_connection_handles_one_request_at_a_time(steps in prop::collection::vec((0u8..5, 1usize..90, any::<bool>()), 1..120)) {
         let mut model = Downstream::new();
@@ -34,8 +34,8 @@
         prop_assert_eq!(String::from_utf8(model.sent).unwrap(), model.answers);
     }
 
-    /// A task ends once: with an answer, or with a break before or after its last byte was written. A connection is idle
-    /// only when it is up without a task, and closed for good.
+    /// A task ends once: with an answer, or with a break before or after its last byte was written. A
+    /// connection is idle only when it is up without a task, and closed for good.
     #[test]
     fn a_task_ends_as_its_bytes_show(steps in prop::collection::vec((0u8..6, 1usize..40, any::<bool>()), 1..80)) {
         let mut model = Upstream::new();
--- a/crates/node/src/model/jobs.rs
+++ b/crates/node/src/model/jobs.rs
@@ -30,9 +30,9 @@
 proptest! {
     #![proptest_config(fixed_seed(256))]
 
-    /// In any order of events: each job has one final answer by its deadline, and none after its client has disconnected;
-    /// attempts start only at listed workers; an attempt is given up as far as its worker has acknowledged it; and nothing
-    /// is left over.
+    /// In any order of events: each job has one final answer by its deadline, and none after its client has
+    /// disconnected; attempts start only at listed workers; an attempt is given up as far as its worker has
+    /// acknowledged it; and nothing is left over.
     #[test]
     fn every_job_gets_one_final_answer(steps in prop::collection::vec((0u8..13, any::<u8>(), 0u16..700), 1..160)) {
         let mut model = Model::new();
@@ -47,7 +47,8 @@
     }
 }
 
-/// The acknowledgement of an attempt may be lost though its worker has the job: the result is the client's all the same.
+/// The acknowledgement of an attempt may be lost though its worker has the job: the result is the client's
+/// all the same.
 #[test]
 fn a_result_counts_though_its_attempt_seemed_lost() {
     let mut model = Model::new();
@@ -228,8 +229,8 @@
         Some(migrated)
     }
 
-    /// Connections come up, some of them late: nothing is sent for a client that has disconnected or has its answer, or to
-    /// a worker that is not listed.
+    /// Connections come up, some of them late: nothing is sent for a client that has disconnected or has its
+    /// answer, or to a worker that is not listed.
     fn write_attempts(&mut self) {
         let unwritten = self.attempts.iter().filter(|(_, attempt)| attempt.is_pending && !attempt.is_written);
         let keys: Vec<(JobId, AttemptId)> = unwritten.map(|(key, _)| *key).collect();
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -31,8 +31,8 @@
 }
 
 impl Reload {
-    /// Keeps what a scheduler starts with, except for its seed and the cached endpoint list, which matter only to a
-    /// start.
+    /// Keeps what a scheduler starts with, except for its seed and the cached endpoint list, which matter
+    /// only to a start.
     pub fn new(path: PathBuf, setup_path: Option<PathBuf>, config: &Config) -> Self {
         Reload {
             path,
@@ -61,7 +61,8 @@
 
     /// The parts that differ from those in force and are not taken over.
     fn parts_for_restart(&self, config: &Config) -> Vec<&'static str> {
-        let (new, old) = (&config.setup.0, &self.setup.0);
+        let new = &config.setup.0;
+        let old = &self.setup.0;
         let parts = [
             ("name", config.name != self.name),
             ("listen", config.listen != self.listen),
--- a/crates/node/src/upgrade_protocol.rs
+++ b/crates/node/src/upgrade_protocol.rs
@@ -1,17 +1,22 @@
-//! The messages between the two processes of an upgrade, without their sockets. To everybody else both processes are
-//! one scheduler.
+//! The messages between the two processes of an upgrade, without their sockets. To everybody else both
+//! processes are one scheduler.
 //!
-//! The names of the format stand in the `serde` attributes here; versions before some fields are still understood.
+//! The names of the format stand in the `serde` attributes here; versions before some fields are still
+//! understood.
 
 use crate::admin::AdminRequest;
 use crate::clock::Millis;
-use crate::http::Outbox;
-use postusher_decision::{ClassEstimates, LearnedState, WorkerHistory, WorkerId};
 use postusher_deferred_jobs::JobEndStatus;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+mod learned;
+mod link;
+
+pub use learned::LearnedSnapshot;
+pub use link::Link;
+
 /// A message between the processes: one line of JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
@@ -89,108 +94,6 @@
     Disconnected,
 }
 
-/// What the decision module has learned, with workers by name.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LearnedSnapshot {
-    #[serde(rename = "fleet")]
-    fleet_means: Vec<Option<f64>>,
-    #[serde(rename = "lay")]
-    queueing_delay: f64,
-    #[serde(rename = "recent")]
-    recent_scores: Vec<f64>,
-    classes: Vec<ClassForm>,
-    kinds: Vec<(u16, Option<f64>)>,
-    /// Versions before customers do not send it.
-    #[serde(rename = "accounts", default)]
-    quota_balances: Vec<f64>,
-    #[serde(rename = "targets")]
-    workers: Vec<(String, WorkerForm)>,
-}
-
-/// Log of the running time, mean running time and rejection rate of a class.
-type ClassForm = (Option<f64>, Option<f64>, f64);
-
-/// The form of [`WorkerHistory`] in a message.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct WorkerForm {
-    #[serde(rename = "slots")]
-    max_free_slots: i64,
-    #[serde(rename = "others")]
-    foreign_slots: f64,
-    #[serde(rename = "reported")]
-    report_age: Option<u64>,
-    #[serde(rename = "strain")]
-    health_score: f64,
-    #[serde(rename = "avoided")]
-    ejected_for: u64,
-    #[serde(rename = "strikes")]
-    consecutive_ejections: u32,
-}
-
-impl From<WorkerHistory> for WorkerForm {
-    fn from(history: WorkerHistory) -> WorkerForm {
-        WorkerForm {
-            max_free_slots: history.max_free_slots,
-            foreign_slots: history.foreign_slots,
-            report_age: history.report_age,
-            health_score: history.health_score,
-            ejected_for: history.ejected_for,
-            consecutive_ejections: history.consecutive_ejections,
-        }
-    }
-}
-
-impl From<WorkerForm> for WorkerHistory {
-    fn from(form: WorkerForm) -> WorkerHistory {
-        WorkerHistory {
-            max_free_slots: form.max_free_slots,
-            foreign_slots: form.foreign_slots,
-            report_age: form.report_age,
-            health_score: form.health_score,
-            ejected_for: form.ejected_for,
-            consecutive_ejections: form.consecutive_ejections,
-        }
-    }
-}
-
-fn class_form(class: ClassEstimates) -> ClassForm {
-    (class.log_duration, class.mean_duration, class.rejection_rate)
-}
-
-fn class_estimates((log_duration, mean_duration, rejection_rate): ClassForm) -> ClassEstimates {
-    ClassEstimates { log_duration, mean_duration, rejection_rate }
-}
-
-impl LearnedSnapshot {
-    /// Converts learned state to its message form; workers without a name are left out.
-    pub fn new(state: LearnedState, name: impl Fn(WorkerId) -> Option<String>) -> LearnedSnapshot {
-        let named = |(id, history): (WorkerId, WorkerHistory)| Some((name(id)?, history.into()));
-        LearnedSnapshot {
-            fleet_means: state.fleet_means,
-            queueing_delay: state.queueing_delay,
-            recent_scores: state.recent_scores,
-            classes: state.classes.into_iter().map(class_form).collect(),
-            kinds: state.kinds,
-            quota_balances: state.quota_balances,
-            workers: state.workers.into_iter().filter_map(named).collect(),
-        }
-    }
-
-    /// Converts the message form to learned state.
-    pub fn into_state(self, id: impl Fn(&str) -> WorkerId) -> LearnedState {
-        let identified = |(name, form): (String, WorkerForm)| (id(&name), form.into());
-        LearnedState {
-            fleet_means: self.fleet_means,
-            queueing_delay: self.queueing_delay,
-            recent_scores: self.recent_scores,
-            classes: self.classes.into_iter().map(class_estimates).collect(),
-            kinds: self.kinds,
-            quota_balances: self.quota_balances,
-            workers: self.workers.into_iter().map(identified).collect(),
-        }
-    }
-}
-
 /// A client's connection that moves to the new process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MigratedConnection {
@@ -248,51 +151,8 @@
     pub may_have_run: bool,
 }
 
-/// Limit of the bytes that wait for the other process, which may have stopped reading.
-const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
-
-/// The stream of messages to and from the other process.
-#[derive(Default)]
-pub struct Link {
-    inbox: Vec<u8>,
-    /// Lines that wait to be written.
-    pub outbox: Outbox,
-}
-
-impl Link {
-    /// Queues a message.
-    pub fn send(&mut self, message: &Message) {
-        match serde_json::to_vec(message) {
-            Ok(line) => self.outbox.put(&[&line, &b"\n"[..]].concat()),
-            Err(error) => log::error!("upgrade message not written: message={message:?} error={error}"),
-        }
-    }
-
-    /// Takes bytes that were read and returns the messages that are complete. A message that cannot be read is left
-    /// out: the other process may be of another version.
-    pub fn receive(&mut self, bytes: &[u8]) -> Vec<Message> {
-        self.inbox.extend_from_slice(bytes);
-        let Some(end) = self.inbox.iter().rposition(|byte| *byte == b'\n') else { return Vec::new() };
-        let rest = self.inbox.split_off(end + 1);
-        let lines = std::mem::replace(&mut self.inbox, rest);
-        let mut messages = Vec::new();
-        for line in lines.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
-            match serde_json::from_slice(line) {
-                Ok(message) => messages.push(message),
-                Err(error) => log::warn!("upgrade message not read: error={error}"),
-            }
-        }
-        messages
-    }
-
-    /// Whether the other process has stopped reading, or sends a line without an end.
-    pub fn is_stuck(&self) -> bool {
-        self.outbox.unsent().len().max(self.inbox.len()) > MAX_QUEUED_BYTES
-    }
-}
-
-/// The Unix socket at which the process that serves an address is found by its successor; `None` for an address that
-/// the system chooses, which no second process could name.
+/// The Unix socket at which the process that serves an address is found by its successor; `None` for an
+/// address that the system chooses, which no second process could name.
 pub fn socket_path(listen: SocketAddr) -> Option<PathBuf> {
     if listen.port() == 0 {
         return None;
--- /dev/null
+++ b/crates/node/src/upgrade_protocol/link.rs
@@ -0,0 +1,47 @@
+//! The stream of messages between the two processes of an upgrade.
+
+use super::Message;
+use crate::http::Outbox;
+
+/// Limit of the bytes that wait for the other process, which may have stopped reading.
+pub(super) const MAX_QUEUED_BYTES: usize = 16 * 1024 * 1024;
+
+/// The stream of messages to and from the other process.
+#[derive(Default)]
+pub struct Link {
+    inbox: Vec<u8>,
+    /// Lines that wait to be written.
+    pub outbox: Outbox,
+}
+
+impl Link {
+    /// Queues a message.
+    pub fn send(&mut self, message: &Message) {
+        match serde_json::to_vec(message) {
+            Ok(line) => self.outbox.put(&[&line, &b"\n"[..]].concat()),
+            Err(error) => log::error!("upgrade message not written: message={message:?} error={error}"),
+        }
+    }
+
+    /// Takes bytes that were read and returns the messages that are complete. A message that cannot be read
+    /// is left out: the other process may be of another version.
+    pub fn receive(&mut self, bytes: &[u8]) -> Vec<Message> {
+        self.inbox.extend_from_slice(bytes);
+        let Some(end) = self.inbox.iter().rposition(|byte| *byte == b'\n') else { return Vec::new() };
+        let rest = self.inbox.split_off(end + 1);
+        let lines = std::mem::replace(&mut self.inbox, rest);
+        let mut messages = Vec::new();
+        for line in lines.split(|byte| *byte == b'\n').filter(|line| !line.is_empty()) {
+            match serde_json::from_slice(line) {
+                Ok(message) => messages.push(message),
+                Err(error) => log::warn!("upgrade message not read: error={error}"),
+            }
+        }
+        messages
+    }
+
+    /// Whether the other process has stopped reading, or sends a line without an end.
+    pub fn is_stuck(&self) -> bool {
+        self.outbox.unsent().len().max(self.inbox.len()) > MAX_QUEUED_BYTES
+    }
+}
--- a/crates/node/src/upgrade_protocol/tests.rs
+++ b/crates/node/src/upgrade_protocol/tests.rs
@@ -1,10 +1,12 @@
 //! Messages of an upgrade in pieces, of older versions and without an end.
 
+use super::learned::class_estimates;
+use super::link::MAX_QUEUED_BYTES;
 use super::{
-    class_estimates, socket_path, AdminRequest, JobEnd, JobEndStatus, LearnedSnapshot, LearnedState, Link,
-    Message, MigratedAttempt, MigratedConnection, MigratedDeferral, MigratedJob, SchedulerState,
-    WorkerHistory, WorkerId, MAX_QUEUED_BYTES,
+    socket_path, AdminRequest, JobEnd, JobEndStatus, LearnedSnapshot, Link, Message, MigratedAttempt,
+    MigratedConnection, MigratedDeferral, MigratedJob, SchedulerState,
 };
+use postusher_decision::{LearnedState, WorkerHistory, WorkerId};
 
 #[test]
 fn messages_come_through_in_pieces_of_any_size_and_unreadable_ones_are_left_out() {
--- a/crates/node/src/worker_protocol.rs
+++ b/crates/node/src/worker_protocol.rs
@@ -1,5 +1,5 @@
-//! The names on the wire between clients, this scheduler and workers. A worker gets a client's request with its path,
-//! body and most of its headers, so that both protocols have the same names.
+//! The names on the wire between clients, this scheduler and workers. A worker gets a client's request with
+//! its path, body and most of its headers, so that both protocols have the same names.
 
 /// Header: the client's id for a job.
 pub const TRACE_ID_HEADER: &str = "X-Trace-Id";
@@ -28,3 +28,15 @@
 pub const READINESS_PATH: &str = "/up";
 /// Path at which workers send job status updates.
 pub const JOB_STATUS_PATH: &str = "/_jobs/news";
+/// Path at which a worker that sends no load reports shows that it lives.
+#[allow(dead_code)]
+pub const HEALTH_PATH: &str = "/alive";
+/// Path at which a worker sends its load report.
+#[allow(dead_code)]
+pub const LOAD_PATH: &str = "/metrics/load";
+
+/// Path of a job at its worker; `DELETE` cancels the job there.
+#[allow(dead_code)]
+pub fn job_path(trace_id: &str) -> String {
+    format!("/jobs/{trace_id}")
+}
