--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -163,7 +163,7 @@
 
 /// The form of the configuration file.
 #[derive(Deserialize)]
-struct ConfigFile {
+struct File {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -171,7 +171,7 @@
     mgmt: Option<SocketAddr>,
     discovery: SocketAddr,
     seed: String,
-    limits: ProcessLimits,
+    limits: Limits,
     #[serde(default)]
     known: Option<Box<RawValue>>,
     settings: serde_json::Value,
@@ -179,7 +179,7 @@
 
 /// The form of the limits of the process.
 #[derive(Deserialize)]
-struct ProcessLimits {
+struct Limits {
     sockets: usize,
     #[serde(default = "default_memory_mb")]
     memory_mb: f64,
@@ -189,7 +189,7 @@
     DEFAULT_MEMORY_MB
 }
 
-impl ProcessLimits {
+impl Limits {
     /// The limit of an endpoint list, in bytes.
     fn max_list(&self) -> usize {
         let part = (self.memory_mb * 1e6 / MEMORY_PER_LIST) as usize;
@@ -223,7 +223,7 @@
     }
 
     fn read(text: &[u8]) -> Result<Config, ConfigFileError> {
-        let file: ConfigFile = serde_json::from_slice(text).map_err(ConfigFileError::Malformed)?;
+        let file: File = serde_json::from_slice(text).map_err(ConfigFileError::Malformed)?;
         let seed = match u64::from_str_radix(&file.seed, 16) {
             Ok(seed) => seed,
             Err(source) => return Err(ConfigFileError::Seed { text: file.seed, source }),
--- a/crates/node/src/discovery/list.rs
+++ b/crates/node/src/discovery/list.rs
@@ -64,8 +64,9 @@
     DEFAULT_WEIGHT
 }
 
-/// The form of a list, with its parts unread.
+/// The form of a list, with its parts unread. Error messages expect it under another name.
 #[derive(Deserialize)]
+#[serde(expecting = "struct Written")]
 struct ListForm<'a> {
     #[serde(borrow, default)]
     version: Option<&'a RawValue>,
--- a/crates/node/src/dispatch/arrivals.rs
+++ b/crates/node/src/dispatch/arrivals.rs
@@ -95,7 +95,7 @@
     /// Adds a job to those under way, with a new id.
     fn open(&mut self, client: ConnectionId, job: Job, now: Millis) -> JobId {
         let id = self.unused_id();
-        let deadline = (now + job.wait).min(self.shutdown_deadline);
+        let deadline = (now + job.time_to_deadline).min(self.shutdown_deadline);
         let job = OpenJob::new(client, job, deadline);
         self.timers.set(job.answer_due(), Timer::AnswerDue(id));
         self.by_trace_id.insert(job.trace_id.clone(), id);
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -4,7 +4,7 @@
 
 use crate::clock::Millis;
 use crate::deferral::StartConditions;
-use crate::header_values::MICROSECOND;
+use crate::header_values::{duration, is_trace_id, MICROSECOND};
 use crate::http::{Headers, Message, RequestLine};
 use crate::stable_hash::fnv1a;
 use crate::worker_protocol::{
@@ -17,6 +17,7 @@
 mod error;
 mod payload;
 
+// The names under which `deferral` uses them.
 pub use crate::header_values::{duration as millis, is_trace_id as is_id};
 pub use error::IntakeError;
 pub use payload::Payload;
@@ -41,7 +42,7 @@
     /// Slots that it takes.
     pub slots: u32,
     /// The time from its arrival to its deadline.
-    pub wait: Millis,
+    pub time_to_deadline: Millis,
     /// What it waits for before it starts; empty where jobs cannot be deferred.
     pub waits: StartConditions,
     /// What a worker is sent.
@@ -94,7 +95,7 @@
         return Err(IntakeError::MethodNotAllowed);
     }
     let trace_id = trace_id(&headers)?;
-    let wait = time_to_deadline(&headers, &site.classes[class])?;
+    let time_to_deadline = time_to_deadline(&headers, &site.classes[class])?;
     let size_hint = size_hint(&headers)?;
     let slots = slots(&headers)?;
     check_idempotency_key(&headers, &site.settings.classes[class].idempotency)?;
@@ -114,7 +115,7 @@
         key,
         size_hint,
         slots,
-        wait,
+        time_to_deadline,
         waits,
         payload: Payload { line, headers, body },
     })
@@ -137,7 +138,7 @@
 
 fn trace_id(headers: &Headers) -> Result<String, IntakeError> {
     match headers.single(TRACE_ID_HEADER)? {
-        Some(id) if is_id(id) => Ok(id.to_string()),
+        Some(id) if is_trace_id(id) => Ok(id.to_string()),
         _ => Err(IntakeError::InvalidTraceId),
     }
 }
@@ -145,14 +146,14 @@
 /// The time within which the client wants its answer; the class's longest, if it does not say.
 fn time_to_deadline(headers: &Headers, class: &NamedClass) -> Result<Millis, IntakeError> {
     match headers.single(EXPIRY_HEADER)? {
-        Some(text) => millis(text, None).ok_or(IntakeError::InvalidExpiry),
+        Some(text) => duration(text, None).ok_or(IntakeError::InvalidExpiry),
         None => Ok(class.max_wait_ms),
     }
 }
 
 fn size_hint(headers: &Headers) -> Result<Option<Micros>, IntakeError> {
     let Some(text) = headers.single(SIZE_HINT_HEADER)? else { return Ok(None) };
-    let estimate = millis(text, Some(MICROSECOND)).ok_or(IntakeError::InvalidSizeHint)?;
+    let estimate = duration(text, Some(MICROSECOND)).ok_or(IntakeError::InvalidSizeHint)?;
     Ok(Some(micros_from_millis(estimate)))
 }
 
