--- a/crates/node/src/dispatch/attempts.rs
+++ b/crates/node/src/dispatch/attempts.rs
@@ -195,7 +195,7 @@
             return None;
         }
         log::debug!(
-            "attempt sent: trace_id={trace_id} attempt={attempt_id} worker={worker} left_ms={time_left:.0}"
+            "attempt started: trace_id={trace_id} attempt={attempt_id} worker={worker} left_ms={time_left:.0}"
         );
         Some(job.submission.payload.request(time_left))
     }
