--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -1,46 +1,62 @@
-//! A host for tests: plays hand-written events and keeps what came out.
+//! A host for tests: passes hand-written events to a dispatcher and keeps the actions that it answers with.
 #![allow(dead_code)]
 
-use postusher_decision::*;
+use postusher_decision::{
+    Action, AttemptId, AttemptOutcome, AttemptResult, Class, DeduplicationScope, Dispatcher, Endpoint,
+    EndpointState, Event, Idempotency, Job, JobId, ListUpdate, Micros, ReportField, Settings, WorkerId,
+};
 
-pub const S: Micros = 1_000_000;
-pub const MS: Micros = 1_000;
+/// Both in microseconds.
+pub const SECOND: Micros = 1_000_000;
+pub const MILLISECOND: Micros = 1_000;
 
-pub struct Rig {
+/// Timers by purpose; where a timer belongs to a job, the job's id is added.
+pub const TICK: u64 = 0;
+pub const DEADLINE: u64 = 1 << 32;
+pub const START_OVERDUE: u64 = 2 << 32;
+pub const REQUEST_LIST: u64 = 3 << 32;
+pub const LOAD_PROBES_OVER: u64 = 5 << 32;
+
+/// The time for which clients of [`TestHost`] wait for an answer.
+const CLIENT_PATIENCE: Micros = 5 * SECOND;
+
+pub struct TestHost {
     pub dispatcher: Dispatcher,
     pub now: Micros,
     pub actions: Vec<Action>,
 }
 
+/// A class with a latency objective of 250 ms plus twice the running time.
 pub fn class(idempotency: Idempotency) -> Class {
-    Class { objective_stretch: 2.0, ..Class::new(idempotency, 250 * MS) }
+    Class { objective_stretch: 2.0, ..Class::new(idempotency, 250 * MILLISECOND) }
 }
 
-pub fn keyed(group: DeduplicationScope) -> Idempotency {
-    Idempotency::ByKey { scope: group, window: 4 * S }
+pub fn by_key(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::ByKey { scope, window: 4 * SECOND }
 }
 
-/// Classes 0 repeatable, 1 keyed in all, 2 once, 3 keyed in a cell.
+/// Classes: 0 is idempotent, 1 by key in the fleet, 2 not idempotent, 3 by key in a cell.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
             class(Idempotency::Idempotent),
-            class(keyed(DeduplicationScope::Fleet)),
+            class(by_key(DeduplicationScope::Fleet)),
             class(Idempotency::NotIdempotent),
-            class(keyed(DeduplicationScope::Cell)),
+            class(by_key(DeduplicationScope::Cell)),
         ],
         max_attempts: 5,
         cancellation_allowed: true,
         initial_capacity: 0.1,
-        slow_start_duration: 20 * S,
+        slow_start_duration: 20 * SECOND,
         overload_factor: 3.0,
-        overload_window: 3 * S,
+        overload_window: 3 * SECOND,
         report_fields: vec![ReportField::FreeSlots, ReportField::QueueLength],
         ..Settings::default()
     }
 }
 
-pub fn member(worker: u32) -> Endpoint {
+/// A ready worker that started long ago; odd and even ones are in different cells.
+pub fn endpoint(worker: u32) -> Endpoint {
     Endpoint {
         worker: WorkerId(worker),
         state: EndpointState::Ready,
@@ -52,84 +68,109 @@
     }
 }
 
-impl Rig {
-    /// A dispatcher with warm workers 1 to `n`, each with two slots.
-    pub fn new(settings: Settings, n: u32) -> Rig {
-        let now = 100 * S;
-        let mut rig = Rig { dispatcher: Dispatcher::new(settings, 1, now), now, actions: Vec::new() };
-        rig.members(ListUpdate::Cached, (1..=n).map(member).collect());
-        (1..=n).for_each(|w| rig.probed(w, AttemptResult::Success, &[2.0, 0.0]));
-        rig.actions.clear();
-        rig
+impl TestHost {
+    /// A dispatcher with workers 1 to `workers`, past their slow start, each with two free slots.
+    pub fn new(settings: Settings, workers: u32) -> TestHost {
+        let mut host = TestHost::with_seed(settings, 1, 100 * SECOND);
+        host.update_list(ListUpdate::Cached, (1..=workers).map(endpoint).collect());
+        for worker in 1..=workers {
+            host.health_checked(worker, AttemptResult::Success, &[2.0, 0.0]);
+        }
+        host.actions.clear();
+        host
+    }
+
+    /// A dispatcher that knows no worker.
+    pub fn with_seed(settings: Settings, seed: u64, now: Micros) -> TestHost {
+        TestHost { dispatcher: Dispatcher::new(settings, seed, now), now, actions: Vec::new() }
     }
 
-    pub fn play(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         self.dispatcher.handle(event, self.now, &mut self.actions);
     }
 
-    pub fn members(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
-        self.play(Event::EndpointList { update, endpoints });
+    pub fn tick(&mut self) {
+        self.handle(Event::TimerExpired(TICK));
     }
 
-    pub fn probed(&mut self, worker: u32, result: AttemptResult, report: &[f64]) {
-        self.play(Event::HealthCheckEnded { worker: WorkerId(worker), result, report: report.to_vec() });
+    pub fn update_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
+        self.handle(Event::EndpointList { update, endpoints });
     }
 
-    /// A job arrives; the worker it went to, if any.
-    pub fn job(&mut self, id: u32, class: u16, slots: u32) -> Option<u32> {
-        self.keyed_job(id, class, slots, 0)
+    pub fn health_checked(&mut self, worker: u32, result: AttemptResult, report: &[f64]) {
+        self.handle(Event::HealthCheckEnded { worker: WorkerId(worker), result, report: report.to_vec() });
     }
 
-    /// The same, of a key.
-    pub fn keyed_job(&mut self, id: u32, class: u16, slots: u32, key: u64) -> Option<u32> {
+    /// Submits a job; returns the worker that it was sent to, if any.
+    pub fn submit(&mut self, id: u32, class: u16, slots: u32) -> Option<u32> {
+        self.submit_with_key(id, class, slots, 0)
+    }
+
+    /// The same for a job with a key.
+    pub fn submit_with_key(&mut self, id: u32, class: u16, slots: u32, key: u64) -> Option<u32> {
         self.actions.clear();
-        let (job, deadline) = (JobId(id), self.now + 5 * S);
-        self.play(Event::JobArrived(Job {
-            id: job,
+        self.handle(Event::JobArrived(Job {
+            id: JobId(id),
             class,
-            deadline,
+            deadline: self.now + CLIENT_PATIENCE,
             size_hint: None,
             slots,
             key,
             customer: 0,
         }));
-        self.sent(id)
+        self.worker_of(id)
+    }
+
+    /// Ends an attempt after 100 ms without a load report; a success is the job's answer.
+    pub fn end_attempt(&mut self, id: u32, attempt: u8, result: AttemptResult) {
+        self.end_attempt_after(id, attempt, result, 100 * MILLISECOND, Vec::new());
     }
 
-    pub fn settle(&mut self, id: u32, attempt: u8, result: AttemptResult) {
+    /// The same after another time and with a load report.
+    pub fn end_attempt_after(
+        &mut self,
+        id: u32,
+        attempt: u8,
+        result: AttemptResult,
+        latency: Micros,
+        report: Vec<f64>,
+    ) {
         self.actions.clear();
-        let (attempt, latency, done) = (AttemptId(attempt), 100 * MS, result == AttemptResult::Success);
-        self.play(Event::AttemptEnded(AttemptOutcome {
+        self.handle(Event::AttemptEnded(AttemptOutcome {
             job: JobId(id),
-            attempt,
+            attempt: AttemptId(attempt),
             result,
             latency,
-            job_answered: done,
-            report: Vec::new(),
+            job_answered: result == AttemptResult::Success,
+            report,
         }));
     }
 
-    /// Plays jobs 1 to 199, of which one worker fails all that it gets, until it is ejected.
-    pub fn sicken(&mut self, sick: u32) {
+    /// Submits jobs 1 to 199, of which one worker fails all that it gets, until it is ejected.
+    pub fn fail_until_ejected(&mut self, failing: u32) {
         for id in 1..200 {
-            self.now += 20 * MS;
-            let Some(worker) = self.job(id, 0, 1) else { continue };
-            self.settle(id, 0, if worker == sick { AttemptResult::Error } else { AttemptResult::Success });
+            self.now += 20 * MILLISECOND;
+            let Some(worker) = self.submit(id, 0, 1) else { continue };
+            let result = if worker == failing { AttemptResult::Error } else { AttemptResult::Success };
+            self.end_attempt(id, 0, result);
         }
-        assert!(self.dispatcher.is_ejected(WorkerId(sick)));
+        assert!(self.dispatcher.is_ejected(WorkerId(failing)));
     }
 
-    pub fn sent(&self, id: u32) -> Option<u32> {
-        self.actions.iter().find_map(|a| match a {
+    /// The worker that the latest actions send a job to.
+    pub fn worker_of(&self, id: u32) -> Option<u32> {
+        self.actions.iter().find_map(|action| match action {
             Action::StartAttempt { job, worker, .. } if job.0 == id => Some(worker.0),
             _ => None,
         })
     }
 
-    pub fn refused(&self, id: u32) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Reject { job, .. } if job.0 == id))
+    /// Whether the latest actions reject a job.
+    pub fn rejected(&self, id: u32) -> bool {
+        self.actions.iter().any(|action| matches!(action, Action::Reject { job, .. } if job.0 == id))
     }
 
+    /// Whether the latest actions fail a job.
     pub fn failed(&self, id: u32) -> bool {
         self.actions.contains(&Action::Fail { job: JobId(id) })
     }
--- a/crates/decision/tests/crowd.rs
+++ b/crates/decision/tests/overload_recovery.rs
@@ -13,9 +13,9 @@
 const DISPATCHERS: usize = 300;
 const WORKERS: u32 = 60;
 const SLOTS: usize = 2;
-const RUN: Micros = 400 * MS; // in the mean
-const NET: Micros = MS; // one way
-const AGAIN: Micros = 100 * MS; // after a refusal, and so many times
+const RUN: Micros = 400 * MILLISECOND; // in the mean
+const NET: Micros = MILLISECOND; // one way
+const AGAIN: Micros = 100 * MILLISECOND; // after a rejection, and so many times
 const TRIES: u32 = 3;
 const BURST: std::ops::Range<u64> = 4..7; // seconds; at 1.5 of what the fleet can carry, and at 0.6 else
 const OVER: u64 = 7 + 5;
@@ -119,13 +119,13 @@
                 n,
                 Event::EndpointList {
                     update: ListUpdate::Cached,
-                    endpoints: (1..=WORKERS).map(member).collect(),
+                    endpoints: (1..=WORKERS).map(endpoint).collect(),
                 },
             );
         }
         fleet.after(0, What::Asks);
         while let Some(Reverse(Due(at, _, what))) = fleet.due.pop() {
-            if at >= (END + 2) * S {
+            if at >= (END + 2) * SECOND {
                 break;
             }
             fleet.now = at;
@@ -149,12 +149,12 @@
     fn happen(&mut self, what: What) {
         match what {
             What::Asks => {
-                let load = if BURST.contains(&(self.now / S)) { 1.5 } else { 0.6 };
+                let load = if BURST.contains(&(self.now / SECOND)) { 1.5 } else { 0.6 };
                 let rate = load * (WORKERS as usize * SLOTS) as f64 / RUN as f64;
                 let gap = (-(1.0 - self.draw()).ln() / rate) as Micros;
                 let dispatcher = (self.draw() * DISPATCHERS as f64) as usize;
                 let run = (RUN as f64 * -(1.0 - self.draw()).ln()) as Micros + 1;
-                if let Some(s) = self.seconds.get_mut((self.now / S) as usize) {
+                if let Some(s) = self.seconds.get_mut((self.now / SECOND) as usize) {
                     s.asked += 1;
                 }
                 self.after(gap.max(1), What::Asks);
@@ -164,7 +164,7 @@
                 self.serial += 1;
                 let id = JobId(self.serial as u32);
                 self.open.insert((dispatcher, id), Open { sent: 0, first, tries, run, attempts: 0 });
-                let deadline = self.now + 6 * S;
+                let deadline = self.now + 6 * SECOND;
                 let job = Job { id, class: 0, deadline, size_hint: None, slots: 1, key: 0, customer: 0 };
                 self.tell(dispatcher, Event::JobArrived(job));
             }
@@ -217,7 +217,7 @@
             return vec![0.0, is.2];
         }
         let told = q.told;
-        if now >= told.0 + 500 * MS {
+        if now >= told.0 + 500 * MILLISECOND {
             q.told = is;
         }
         vec![told.1, if told.0 == 0 { SLOTS as f64 } else { told.2 }]
@@ -269,7 +269,7 @@
                         ),
                     );
                 }
-                Action::Reject { job, .. } | Action::Fail { job } => self.refused(d, job),
+                Action::Reject { job, .. } | Action::Fail { job } => self.rejected(d, job),
                 Action::WatchEndpoints | Action::CloseIdleConnections { .. } => {}
             }
         }
@@ -281,13 +281,13 @@
         let took = self.now - open.first;
         let in_time = took <= self.set.classes[0].latency_objective + (2.0 * open.run as f64) as Micros;
         self.seconds
-            .get_mut((open.first / S) as usize)
+            .get_mut((open.first / SECOND) as usize)
             .into_iter()
             .for_each(|s| s.in_time += u32::from(in_time));
         Some(self.now - self.open.remove(&(d, o.job))?.sent)
     }
 
-    fn refused(&mut self, d: usize, job: JobId) {
+    fn rejected(&mut self, d: usize, job: JobId) {
         let Some(open) = self.open.remove(&(d, job)) else { return };
         if open.tries + 1 < TRIES {
             let dispatcher = (self.draw() * DISPATCHERS as f64) as usize;
@@ -298,7 +298,7 @@
 }
 
 fn told_by(reports: Reports) -> Settings {
-    let one = Class { objective_stretch: 2.0, ..Class::new(Idempotency::Idempotent, 600 * MS) };
+    let one = Class { objective_stretch: 2.0, ..Class::new(Idempotency::Idempotent, 600 * MILLISECOND) };
     let probes = reports == Reports::Probes;
     let fields = if probes {
         vec![ReportField::Unused, ReportField::FreeSlots]
@@ -324,8 +324,8 @@
 }
 
 #[test]
-fn a_burst_passes_where_only_probes_tell() {
-    // Guards against: a standing queue at all workers that is never worked off, since jobs are sent into it by old beliefs.
+fn fleet_recovers_from_a_burst_with_load_probes_only() {
+    // Jobs placed by old estimates could keep a standing queue at all workers for ever.
     for seed in 1..=2 {
         let seconds = Fleet::play(Reports::Probes, told_by(Reports::Probes), seed);
         let [before, burst, after] = [1..BURST.start, BURST, OVER..END].map(|of| in_time(&seconds, of));
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn a_crowd_that_does_not_pass_is_seen() {
+fn model_shows_a_metastable_overload() {
     // The model can fail: dispatchers that wait for no probe, as answers seem to bring reports, stay crowded.
     let blind = Settings { reports_by_health_check_only: false, ..told_by(Reports::Probes) };
     let after = in_time(&Fleet::play(Reports::Probes, blind, 1), OVER..END);
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn a_burst_passes_where_answers_bring_late_reports() {
+fn fleet_recovers_from_a_burst_with_late_load_reports() {
     for seed in 1..=2 {
         let seconds = Fleet::play(Reports::Answers, told_by(Reports::Answers), seed);
         let [before, after] = [1..BURST.start, OVER..END].map(|of| in_time(&seconds, of));
--- a/crates/decision/tests/customers.rs
+++ b/crates/decision/tests/quotas.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Running time of every job.
-const RUN: Micros = S;
+const RUN: Micros = SECOND;
 
 /// An attempt that will end.
 struct End {
@@ -53,7 +53,7 @@
             reports_start: true,
             ..settings()
         };
-        let now = 100 * S;
+        let now = 100 * SECOND;
         let mut fleet = Fleet {
             dispatchers: (0..dispatchers).map(|n| Dispatcher::new(set.clone(), u64::from(n), now)).collect(),
             busy: vec![Vec::new(); workers as usize],
@@ -69,7 +69,7 @@
             served: BTreeMap::new(),
         };
         for d in 0..fleet.dispatchers.len() {
-            let endpoints = (0..workers).map(member).collect();
+            let endpoints = (0..workers).map(endpoint).collect();
             fleet.play(d, Event::EndpointList { update: ListUpdate::Cached, endpoints });
         }
         fleet
@@ -108,7 +108,7 @@
                 job,
                 attempt,
                 result: AttemptResult::Overloaded,
-                latency: MS,
+                latency: MILLISECOND,
                 job_answered: false,
                 report: Vec::new(),
             };
@@ -157,7 +157,7 @@
 
     fn job(&mut self, d: usize, customer: u16) {
         self.jobs += 1;
-        let (id, deadline) = (JobId(self.jobs), self.now + 8 * S);
+        let (id, deadline) = (JobId(self.jobs), self.now + 8 * SECOND);
         self.owner.insert(id.0, customer);
         *self.asked.entry(customer).or_default() += 1;
         self.play(
@@ -170,10 +170,10 @@
     fn run(&mut self, seconds: u64, rates: &[f64], skew: f64, seed: u64) {
         let mut rng = Lcg(seed);
         let total: f64 = rates.iter().sum();
-        let end = self.now + seconds * S;
+        let end = self.now + seconds * SECOND;
         let mut at = self.now;
         loop {
-            at += (-(1.0 - rng.next()).ln() / total * S as f64) as Micros;
+            at += (-(1.0 - rng.next()).ln() / total * SECOND as f64) as Micros;
             if at >= end {
                 break;
             }
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn who_keeps_to_its_share_is_served_beside_one_that_floods() {
+fn customers_within_quota_are_served_beside_a_flooding_customer() {
     for (scheduler_count, seed) in [(1, 1), (3, 2), (3, 3)] {
         let fleet = after_a_start(scheduler_count, &QUOTAS, &[60.0, 6.0, 6.0], 0.0, seed);
         let [flood, one, other] = [0, 1, 2].map(|c| fleet.part(c));
@@ -246,28 +246,28 @@
 }
 
 #[test]
-fn without_customers_all_are_turned_away_alike_beside_one_that_floods() {
+fn without_quotas_a_flooding_customer_crowds_out_the_others() {
     let fleet = after_a_start(3, &[], &[60.0, 6.0, 6.0], 0.0, 2);
     let [flood, one, other] = [0, 1, 2].map(|c| fleet.part(c));
     assert!(one < 0.8 && other < 0.8 && (flood - one).abs() < 0.15, "{flood:.2}, {one:.2}, {other:.2}");
 }
 
 #[test]
-fn room_that_nobody_in_its_share_needs_is_lent() {
+fn unused_capacity_is_lent() {
     let fleet = after_a_start(3, &QUOTAS, &[24.0, 0.5, 0.5], 0.0, 4);
     assert!(fleet.part(0) > 0.9, "2.4 times its share, of an idle fleet: {:.2}", fleet.part(0));
 }
 
 #[test]
-fn a_customer_that_the_settings_do_not_have_takes_nothing_from_the_others() {
+fn unknown_customer_takes_no_capacity_from_the_others() {
     let fleet = after_a_start(3, &QUOTAS, &[0.0, 6.0, 6.0, 0.0, 60.0], 0.0, 5);
     assert!(fleet.part(1) > 0.97 && fleet.part(2) > 0.97, "{:.2}, {:.2}", fleet.part(1), fleet.part(2));
     assert!(fleet.part(4) > 0.2, "and is lent what is left: {:.2}", fleet.part(4));
 }
 
-/// Guards against: an even part of each share at a dispatcher that has more than an even part of the traffic.
+/// An even part of each quota is too little at a dispatcher with more than an even part of the traffic.
 #[test]
-fn a_dispatcher_with_more_of_the_traffic_grants_shares_to_match() {
+fn dispatcher_with_more_traffic_grants_larger_quota_parts() {
     for seed in [6, 7] {
         let fleet = after_a_start(3, &QUOTAS, &[60.0, 6.0, 6.0], 0.8, seed);
         assert!(fleet.part(1) > 0.95 && fleet.part(2) > 0.95, "{:.2}, {:.2}", fleet.part(1), fleet.part(2));
@@ -278,7 +278,7 @@
 /// traffic is not spread alike, so it may be more than one; `1 + use` bounds it, with the use that the customer in the
 /// middle makes of its share over the whole fleet, and what was saved up at the start comes on top.
 #[test]
-fn shares_granted_are_bounded_in_the_sum_over_dispatchers() {
+fn sum_of_granted_quotas_is_bounded_over_all_dispatchers() {
     let seconds = 60.0;
     for (scheduler_count, skew, seed) in [(3, 0.0, 1), (3, 0.8, 2), (3, 1.9, 3), (6, 4.5, 4)] {
         let mut fleet = Fleet::new(10, scheduler_count, &QUOTAS);
@@ -295,35 +295,35 @@
 }
 
 #[test]
-fn a_job_that_another_process_has_sent_is_not_charged_twice() {
+fn adopted_job_is_not_charged_twice() {
     let set = Settings { customers: vec![Customer { quota_per_second: 1.0 }; 2], ..settings() };
-    let mut rig = Rig::new(set, 4);
-    let before = rig.dispatcher.learned_state().quota_balances;
+    let mut host = TestHost::new(set, 4);
+    let before = host.dispatcher.learned_state().quota_balances;
     let job = |id, customer| Job {
         id: JobId(id),
         class: 2,
-        deadline: 200 * S,
+        deadline: 200 * SECOND,
         size_hint: None,
         slots: 1,
         key: 0,
         customer,
     };
-    let out = PriorAttempt { worker: WorkerId(1), age: 10 * MS, pending: true, may_have_run: true };
-    rig.play(Event::JobAdopted { job: job(1, 1), attempts: vec![out] });
+    let out = PriorAttempt { worker: WorkerId(1), age: 10 * MILLISECOND, pending: true, may_have_run: true };
+    host.handle(Event::JobAdopted { job: job(1, 1), attempts: vec![out] });
     assert_eq!(
-        rig.dispatcher.learned_state().quota_balances,
+        host.dispatcher.learned_state().quota_balances,
         before,
         "the account came over with this job taken off"
     );
     // One that has gone nowhere yet is sent from here, and taken off its own customer's account.
-    rig.play(Event::JobAdopted { job: job(2, 1), attempts: Vec::new() });
-    assert!(rig.sent(2).is_some());
-    let after = rig.dispatcher.learned_state().quota_balances;
+    host.handle(Event::JobAdopted { job: job(2, 1), attempts: Vec::new() });
+    assert!(host.worker_of(2).is_some());
+    let after = host.dispatcher.learned_state().quota_balances;
     assert!(after[0] == before[0] && after[1] > 0.0 && after[1] < 3.0, "{before:?}, {after:?}");
 }
 
 #[test]
-fn what_was_lent_is_forgotten_in_a_stated_time() {
+fn quota_debt_is_bounded_in_time() {
     let mut fleet = Fleet::new(10, 1, &QUOTAS);
     fleet.run(30, &[60.0, 6.0, 6.0], 0.0, 7);
     // It keeps to its share now; 16 s later nothing is held against it.
@@ -334,15 +334,15 @@
 }
 
 #[test]
-fn what_a_customer_owes_goes_over_to_the_next_process() {
+fn quota_debt_is_handed_to_the_next_process() {
     let set = Settings { customers: vec![Customer { quota_per_second: 1.0 }; 2], ..settings() };
-    let mut old = Rig::new(set.clone(), 4);
+    let mut old = TestHost::new(set.clone(), 4);
     for id in 1..=6 {
-        assert!(old.job(id, 0, 1).is_some(), "nobody else needs the room");
-        old.settle(id, 0, AttemptResult::Success);
+        assert!(old.submit(id, 0, 1).is_some(), "nobody else needs the room");
+        old.end_attempt(id, 0, AttemptResult::Success);
     }
-    let mut new = Rig::new(set, 4);
-    new.play(Event::Learned(old.dispatcher.learned_state()));
+    let mut new = TestHost::new(set, 4);
+    new.handle(Event::Learned(old.dispatcher.learned_state()));
     assert_eq!(new.dispatcher.learned_state().quota_balances, old.dispatcher.learned_state().quota_balances);
     assert!(new.dispatcher.learned_state().quota_balances[0] < 0.0);
 }
@@ -352,7 +352,7 @@
 
     /// Whatever one customer sends, the others are served within their shares.
     #[test]
-    fn nobody_can_take_what_belongs_to_others(
+    fn customers_within_quota_are_served_at_any_flood(
         flood in 0.0f64..120.0, one in 0.2f64..0.9, other in 0.2f64..0.9, seed in 0u64..1 << 40
     ) {
         let fleet = after_a_start(2, &QUOTAS, &[flood, one * QUOTAS[1], other * QUOTAS[2]], 0.0, seed);
--- a/crates/decision/tests/model.rs
+++ b/crates/decision/tests/random_days.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 const WORKERS: u32 = 6;
-const PAUSE: Micros = 300 * MS;
+const PAUSE: Micros = 300 * MILLISECOND;
 
 /// How an attempt ended and when; `None` while it is out.
 type Ended = Option<(AttemptResult, Micros)>;
@@ -46,7 +46,7 @@
 }
 
 struct Day {
-    rig: Rig,
+    host: TestHost,
     jobs: BTreeMap<u32, Told>,
     draining: Vec<u32>,
     timers: BTreeMap<(Micros, usize), u64>,
@@ -58,7 +58,7 @@
         let mut s = settings();
         s.classes = vec![
             Class { ordered_by_key: true, ..class(Idempotency::Idempotent) },
-            class(keyed(DeduplicationScope::Cell)),
+            class(by_key(DeduplicationScope::Cell)),
             class(Idempotency::NotIdempotent),
             Class { allowed_kinds: Some(vec![1]), ..class(Idempotency::Idempotent) },
         ];
@@ -70,25 +70,25 @@
             ..s
         };
         let s = Settings { overloaded_may_have_run: true, fetch_cost: 0.05, ..s };
-        let mut rig = Rig::new(s, 0);
-        rig.members(
+        let mut host = TestHost::new(s, 0);
+        host.update_list(
             ListUpdate::Complete,
-            (1..=WORKERS).map(|w| Self::member(w, EndpointState::Ready)).collect(),
+            (1..=WORKERS).map(|w| Self::endpoint(w, EndpointState::Ready)).collect(),
         );
-        (1..=WORKERS).for_each(|w| rig.probed(w, AttemptResult::Success, &[2.0, 0.0]));
-        Day { rig, jobs: BTreeMap::new(), draining: Vec::new(), timers: BTreeMap::new(), set: 0 }
+        (1..=WORKERS).for_each(|w| host.health_checked(w, AttemptResult::Success, &[2.0, 0.0]));
+        Day { host, jobs: BTreeMap::new(), draining: Vec::new(), timers: BTreeMap::new(), set: 0 }
     }
 
-    fn member(w: u32, state: EndpointState) -> Endpoint {
-        Endpoint { kind: (w % 2) as u16, cell: (w % 3) as u16, state, ..member(w) }
+    fn endpoint(w: u32, state: EndpointState) -> Endpoint {
+        Endpoint { kind: (w % 2) as u16, cell: (w % 3) as u16, state, ..endpoint(w) }
     }
 
     /// Plays an event and checks what came out.
     fn play(&mut self, event: Event) {
-        self.rig.actions.clear();
-        self.rig.play(event);
-        let now = self.rig.now;
-        for action in std::mem::take(&mut self.rig.actions) {
+        self.host.actions.clear();
+        self.host.handle(event);
+        let now = self.host.now;
+        for action in std::mem::take(&mut self.host.actions) {
             match action {
                 Action::SetTimer { after, timer } => {
                     self.set += 1;
@@ -98,7 +98,7 @@
                 Action::Reject { job, .. } => {
                     let told = &self.jobs[&job.0];
                     let ran = told.first_run().is_some();
-                    assert!(!(ran && matches!(told.class, 1 | 2)), "refused though it may have run");
+                    assert!(!(ran && matches!(told.class, 1 | 2)), "rejected though it may have run");
                     self.answered(job.0);
                 }
                 Action::Fail { job } => self.answered(job.0),
@@ -121,7 +121,7 @@
         match (told.class, told.first_run()) {
             (2, ran) => assert!(ran.is_none(), "once, and sent again"),
             (1, Some((first, sent))) => {
-                assert!(worker % 3 == first % 3 && now <= sent + 4 * S, "outside its cell or window");
+                assert!(worker % 3 == first % 3 && now <= sent + 4 * SECOND, "outside its cell or window");
             }
             _ => {}
         }
@@ -131,8 +131,8 @@
         self.jobs.entry(job).and_modify(|t| t.attempts.push((worker, now, None)));
     }
 
-    fn settle(&mut self, job: u32, attempt: usize, result: AttemptResult) {
-        let now = self.rig.now;
+    fn end_attempt(&mut self, job: u32, attempt: usize, result: AttemptResult) {
+        let now = self.host.now;
         let told = self.jobs.get_mut(&job).expect("a job that came");
         let latency = now - told.attempts[attempt].1;
         told.attempts[attempt].2 = Some((result, now));
@@ -151,16 +151,16 @@
 
     /// Moves the clock, with the timers that come due, in order.
     fn wait(&mut self, time: Micros) {
-        let until = self.rig.now + time;
+        let until = self.host.now + time;
         while let Some(((at, n), timer)) = self.timers.first_key_value().map(|(k, c)| (*k, *c)) {
             if at > until {
                 break;
             }
             self.timers.remove(&(at, n));
-            self.rig.now = at;
+            self.host.now = at;
             self.play(Event::TimerExpired(timer));
         }
-        self.rig.now = until;
+        self.host.now = until;
     }
 
     fn out(&self) -> Vec<(u32, usize)> {
@@ -190,7 +190,7 @@
                 let (id, class) = (n as u32, u16::from(what / 8 % 4));
                 let key = u64::from(which % 4);
                 d.jobs.insert(id, Told { class, key, ..Told::default() });
-                let (deadline, size_hint) = (d.rig.now + 5 * S, None);
+                let (deadline, size_hint) = (d.host.now + 5 * SECOND, None);
                 d.play(Event::JobArrived(Job {
                     id: JobId(id),
                     class,
@@ -201,7 +201,7 @@
                     customer: 0,
                 }));
             }
-            (4 | 5, Some((job, attempt))) => d.settle(job, attempt, ENDINGS[usize::from(which / 8 % 8)]),
+            (4 | 5, Some((job, attempt))) => d.end_attempt(job, attempt, ENDINGS[usize::from(which / 8 % 8)]),
             (6, Some((job, attempt))) if which % 4 > 0 => {
                 d.play(Event::JobStarted { job: JobId(job), attempt: AttemptId(attempt as u8) });
             }
@@ -215,18 +215,18 @@
                 d.draining.retain(|w| *w != worker);
                 d.draining.extend((!ready).then_some(worker));
                 let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
-                let endpoints = vec![Day::member(worker, state)];
+                let endpoints = vec![Day::endpoint(worker, state)];
                 d.play(Event::EndpointList { update: ListUpdate::Changes, endpoints });
             }
             _ => {}
         }
     }
-    d.wait(6 * S);
+    d.wait(6 * SECOND);
     assert!(d.jobs.values().all(|t| t.over), "no final answer by the deadline");
     for (job, attempt) in d.out() {
-        d.settle(job, attempt, AttemptResult::TimedOut);
+        d.end_attempt(job, attempt, AttemptResult::TimedOut);
     }
-    assert!((1..=WORKERS).all(|w| d.rig.dispatcher.tokens(WorkerId(w)).1 == 0), "tokens still held");
+    assert!((1..=WORKERS).all(|w| d.host.dispatcher.tokens(WorkerId(w)).1 == 0), "tokens still held");
 }
 
 proptest! {
--- a/crates/decision/tests/sequences.rs
+++ b/crates/decision/tests/random_events.rs
@@ -40,17 +40,17 @@
 
 fn run(script: &[(u8, u8, u16)], settings: Settings) -> Vec<Action> {
     let copies = settings.hedging_allowed;
-    let mut rig = Rig::new(settings, WORKERS);
+    let mut host = TestHost::new(settings, WORKERS);
     let (mut seen, mut all, mut id) = (Seen::default(), Vec::new(), 0);
     for (what, which, step) in script {
-        rig.now += Micros::from(*step) * 100;
-        rig.actions.clear();
+        host.now += Micros::from(*step) * 100;
+        host.actions.clear();
         match what % 8 {
             0..=2 => {
                 id += 1;
                 let slots = 1 + u32::from(which % 2);
                 seen.open.insert(id, slots as usize);
-                rig.job(id, u16::from(which % 5), slots);
+                host.submit(id, u16::from(which % 5), slots);
             }
             3 | 4 => {
                 let Some((job, attempt)) =
@@ -76,7 +76,7 @@
                 let done = !seen.open.contains_key(&job);
                 let report = vec![f64::from(*which % 3), f64::NAN];
                 let latency = Micros::from(*step) * 100;
-                rig.play(Event::AttemptEnded(AttemptOutcome {
+                host.handle(Event::AttemptEnded(AttemptOutcome {
                     job: JobId(job),
                     attempt: AttemptId(attempt),
                     result,
@@ -85,7 +85,7 @@
                     report,
                 }));
             }
-            5 => rig.play(Event::TimerExpired(0)),
+            5 => host.tick(),
             6 => {
                 let ready = which % 2 == 0;
                 let worker = 1 + u32::from(*which) % WORKERS;
@@ -94,29 +94,29 @@
                 if !ready {
                     seen.told_not.push(worker);
                 }
-                rig.members(ListUpdate::Changes, vec![Endpoint { state, ..member(worker) }]);
+                host.update_list(ListUpdate::Changes, vec![Endpoint { state, ..endpoint(worker) }]);
             }
-            _ => rig.probed(
+            _ => host.health_checked(
                 1 + u32::from(*which) % WORKERS,
                 AttemptResult::Success,
                 &[f64::from(*which % 4), 0.0],
             ),
         }
-        account(&mut seen, &rig.actions, copies);
+        account(&mut seen, &host.actions, copies);
         for w in 1..=WORKERS {
             let held: usize = seen.out.values().filter(|o| o.0 == w).map(|o| o.1).sum();
-            let (free, holds) = rig.dispatcher.tokens(WorkerId(w));
+            let (free, holds) = host.dispatcher.tokens(WorkerId(w));
             assert_eq!(holds, held, "worker {w}: tokens lost or made up");
             assert!(free + holds <= 40, "worker {w}: the count is not bounded");
             assert!(free == 0 || !seen.told_not.contains(&w));
         }
-        all.append(&mut rig.actions.clone());
+        all.append(&mut host.actions.clone());
     }
-    rig.now += 10 * S;
+    host.now += 10 * SECOND;
     for job in seen.open.keys().copied().collect::<Vec<_>>() {
-        rig.actions.clear();
-        rig.play(Event::TimerExpired((1 << 32) + u64::from(job)));
-        account(&mut seen, &rig.actions, copies);
+        host.actions.clear();
+        host.handle(Event::TimerExpired(DEADLINE + u64::from(job)));
+        account(&mut seen, &host.actions, copies);
     }
     assert!(seen.open.is_empty(), "a job got no answer");
     all
@@ -126,7 +126,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::with_cases(64) })]
 
     #[test]
-    fn rules_and_tokens_hold(script in prop::collection::vec(any::<(u8, u8, u16)>(), 1..400), copies: bool) {
+    fn rules_hold_and_tokens_are_conserved(script in prop::collection::vec(any::<(u8, u8, u16)>(), 1..400), copies: bool) {
         let settings = Settings { hedging_allowed: copies, reports_start: copies, ..settings() };
         let first = run(&script, settings.clone());
         prop_assert_eq!(first, run(&script, settings), "the same events give the same actions");
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn odd_events_are_survived() {
-    let mut rig = Rig::new(Settings { health_checks_allowed: true, ..settings() }, 1);
-    rig.settle(77, 3, AttemptResult::Success);
-    rig.play(Event::JobStarted { job: JobId(77), attempt: AttemptId(9) });
-    rig.play(Event::ClientDisconnected(JobId(77)));
-    rig.play(Event::TimerExpired(u64::MAX));
-    rig.probed(99, AttemptResult::TimedOut, &[-1.0, f64::INFINITY]);
-    rig.probed(1, AttemptResult::Success, &[f64::NAN]);
+fn unexpected_events_are_survived() {
+    let mut host = TestHost::new(Settings { health_checks_allowed: true, ..settings() }, 1);
+    host.end_attempt(77, 3, AttemptResult::Success);
+    host.handle(Event::JobStarted { job: JobId(77), attempt: AttemptId(9) });
+    host.handle(Event::ClientDisconnected(JobId(77)));
+    host.handle(Event::TimerExpired(u64::MAX));
+    host.health_checked(99, AttemptResult::TimedOut, &[-1.0, f64::INFINITY]);
+    host.health_checked(1, AttemptResult::Success, &[f64::NAN]);
     let job =
         Job { id: JobId(5), class: 900, deadline: 0, size_hint: Some(0), slots: 0, key: 0, customer: 0 };
-    rig.actions.clear();
-    rig.play(Event::JobArrived(job.clone()));
-    assert!(rig.refused(5), "past its time already, and still answered");
-    rig.actions.clear();
-    rig.play(Event::JobArrived(Job { id: JobId(6), deadline: rig.now + S, slots: u32::MAX, ..job }));
-    assert!(rig.refused(6));
+    host.actions.clear();
+    host.handle(Event::JobArrived(job.clone()));
+    assert!(host.rejected(5), "past its time already, and still answered");
+    host.actions.clear();
+    host.handle(Event::JobArrived(Job { id: JobId(6), deadline: host.now + SECOND, slots: u32::MAX, ..job }));
+    assert!(host.rejected(6));
 }
