--- a/crates/decision/tests/class_rules.rs
+++ b/crates/decision/tests/class_rules.rs
@@ -53,8 +53,8 @@
 
 #[test]
 fn hedged_request_of_a_restricted_class_is_restricted_too() {
-    let told = Settings { reports_start: true, hedging_allowed: true, ..bound() };
-    let mut host = TestHost::new(told, 0);
+    let settings = Settings { reports_start: true, hedging_allowed: true, ..bound() };
+    let mut host = TestHost::new(settings, 0);
     host.update_list(ListUpdate::Complete, fleet(EndpointState::Ready));
     host.submit(1, 0, 1).expect("its worker");
     host.now += 25 * MILLISECOND;
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -55,6 +55,11 @@
     }
 }
 
+/// One of 300 schedulers, which may check the health of workers.
+pub fn settings_at_scale() -> Settings {
+    Settings { scheduler_count: 300, health_checks_allowed: true, ..settings() }
+}
+
 /// A ready worker that started long ago; odd and even ones are in different cells.
 pub fn endpoint(worker: u32) -> Endpoint {
     Endpoint {
@@ -73,9 +78,7 @@
     pub fn new(settings: Settings, workers: u32) -> TestHost {
         let mut host = TestHost::with_seed(settings, 1, 100 * SECOND);
         host.update_list(ListUpdate::Cached, (1..=workers).map(endpoint).collect());
-        for worker in 1..=workers {
-            host.health_checked(worker, AttemptResult::Success, &[2.0, 0.0]);
-        }
+        host.report_loads(1..=workers, &[2.0, 0.0]);
         host.actions.clear();
         host
     }
@@ -101,6 +104,13 @@
         self.handle(Event::HealthCheckEnded { worker: WorkerId(worker), result, report: report.to_vec() });
     }
 
+    /// All these workers answer a health check with the same load report.
+    pub fn report_loads(&mut self, workers: impl IntoIterator<Item = u32>, report: &[f64]) {
+        for worker in workers {
+            self.health_checked(worker, AttemptResult::Success, report);
+        }
+    }
+
     /// Submits a job; returns the worker that it was sent to, if any.
     pub fn submit(&mut self, id: u32, class: u16, slots: u32) -> Option<u32> {
         self.submit_with_key(id, class, slots, 0)
--- a/crates/decision/tests/load_probes.rs
+++ b/crates/decision/tests/load_probes.rs
@@ -148,7 +148,7 @@
     // A scheduler with much traffic has reports of most workers within half a minute, and still does not know
     // where slots are free.
     let mut host = host(8);
-    (1..=8).for_each(|w| host.health_checked(w, AttemptResult::Success, &[0.0, 3.0]));
+    host.report_loads(1..=8, &[0.0, 3.0]);
     host.now += 200 * MILLISECOND;
     host.tick();
     assert!(host.submit(1, 0, 1).is_some(), "all were heard of just now");
--- a/crates/decision/tests/outlier_detection.rs
+++ b/crates/decision/tests/outlier_detection.rs
@@ -17,15 +17,7 @@
         let Some(worker) = host.submit(id, 2, 1) else { continue };
         *got.entry(worker).or_insert(0) += 1;
         let (result, latency) = answer(worker);
-        let done = result == AttemptResult::Success;
-        host.handle(Event::AttemptEnded(AttemptOutcome {
-            job: JobId(id),
-            attempt: AttemptId(0),
-            result,
-            latency,
-            job_answered: done,
-            report: Vec::new(),
-        }));
+        host.end_attempt_after(id, 0, result, latency, Vec::new());
     }
     got
 }
@@ -129,8 +121,8 @@
 #[test]
 fn job_that_does_not_start_is_not_hedged_and_marks_its_worker_full() {
     // Many schedulers hedging their queued jobs would only lengthen the queues where nothing queued can be cancelled.
-    let told = Settings { reports_start: true, hedging_allowed: true, ..settings() };
-    let mut host = TestHost::new(told, 1);
+    let settings = Settings { reports_start: true, hedging_allowed: true, ..settings() };
+    let mut host = TestHost::new(settings, 1);
     assert_eq!(host.submit(1, 0, 1), Some(1));
     let free = host.dispatcher.free_capacity().free;
     host.now += 25 * MILLISECOND;
@@ -240,8 +232,8 @@
 fn job_that_missed_its_objective_is_answered_at_once() {
     // Late jobs that are worth nothing delay others, and their clients should not wait for the deadline.
     for (class, rejected) in [(0, true), (2, false)] {
-        let told = Settings { reports_start: true, hedging_allowed: true, ..settings() };
-        let mut host = TestHost::new(told, 1);
+        let settings = Settings { reports_start: true, hedging_allowed: true, ..settings() };
+        let mut host = TestHost::new(settings, 1);
         host.submit(1, class, 1).unwrap();
         host.now += 510 * MILLISECOND; // goal 250 ms, and as much again for a running time taken as the goal
         host.actions.clear();
@@ -254,8 +246,8 @@
 #[test]
 fn start_timer_allows_for_the_usual_time_to_a_start() {
     // Where new connections are slow, every job would look overdue.
-    let told = Settings { reports_start: true, hedging_allowed: true, ..settings() };
-    let mut host = TestHost::new(told, 9);
+    let settings = Settings { reports_start: true, hedging_allowed: true, ..settings() };
+    let mut host = TestHost::new(settings, 9);
     let mut after = 0;
     for id in 1..60 {
         host.submit(id, 0, 1).unwrap();
--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Long random but legal sequences of events: rules and token conservation hold throughout.
+//! Long random but legal sequences of events: the service rules hold and tokens are conserved throughout.
 
 mod common;
 use common::*;
@@ -8,126 +8,184 @@
 use std::collections::BTreeMap;
 
 const WORKERS: u32 = 5;
+/// More tokens than a worker of the few slots that are reported may ever have.
+const MAX_TOKENS: usize = 40;
+const RESULTS: [AttemptResult; 8] = [
+    AttemptResult::Success,
+    AttemptResult::Success,
+    AttemptResult::Error,
+    AttemptResult::Overloaded,
+    AttemptResult::TimedOut,
+    AttemptResult::Reset,
+    AttemptResult::ConnectFailed,
+    AttemptResult::Cancelled,
+];
 
-#[derive(Default)]
-struct Seen {
-    /// Attempts out, with their worker and slots.
-    out: BTreeMap<(u32, u8), (u32, usize)>,
+/// One step of a script: what happens, a choice within that, and the time until then in units of 100 µs.
+type Step = (u8, u8, u16);
+
+/// A pending attempt, as the test saw it.
+struct Pending {
+    worker: u32,
+    slots: usize,
+}
+
+/// A dispatcher and what a legal host knows about its jobs.
+struct Run {
+    host: TestHost,
+    hedging_allowed: bool,
+    /// By job and number of the attempt.
+    pending: BTreeMap<(u32, u8), Pending>,
+    /// Number of attempts by job.
     attempts: BTreeMap<u32, u8>,
-    open: BTreeMap<u32, usize>,
-    told_not: Vec<u32>,
+    /// Slots of the jobs that are owed an answer.
+    unanswered: BTreeMap<u32, usize>,
+    draining: Vec<u32>,
+    latest_job: u32,
 }
 
-/// Checks what came out against what is legal, and remembers it.
-fn account(seen: &mut Seen, actions: &[Action], copies: bool) {
-    for a in actions {
-        match a {
-            Action::StartAttempt { job, worker, .. } => {
-                assert!(seen.open.contains_key(&job.0), "sent after its answer");
-                assert!(!seen.told_not.contains(&worker.0), "sent to a draining worker");
-                let attempt = seen.attempts.entry(job.0).or_default();
-                assert!(copies || !seen.out.keys().any(|(j, _)| *j == job.0), "two at once");
-                seen.out.insert((job.0, *attempt), (worker.0, seen.open[&job.0]));
-                *attempt += 1;
+impl Run {
+    fn new(settings: Settings) -> Run {
+        Run {
+            hedging_allowed: settings.hedging_allowed,
+            host: TestHost::new(settings, WORKERS),
+            pending: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            unanswered: BTreeMap::new(),
+            draining: Vec::new(),
+            latest_job: 0,
+        }
+    }
+
+    /// Plays one step and checks what came of it.
+    fn step(&mut self, (event, choice, pause): Step) {
+        self.host.now += Micros::from(pause) * 100;
+        self.host.actions.clear();
+        match event % 8 {
+            0..=2 => self.submit(choice),
+            3 | 4 => {
+                let index = usize::from(choice) % self.pending.len().max(1);
+                let Some(attempt) = self.pending.keys().nth(index).copied() else { return };
+                self.end(attempt, choice, Micros::from(pause) * 100);
             }
-            Action::Reject { job, .. } | Action::Fail { job } => {
-                assert!(seen.open.remove(&job.0).is_some(), "answered twice");
+            5 => self.host.tick(),
+            6 => self.change_state(choice),
+            _ => {
+                let worker = 1 + u32::from(choice) % WORKERS;
+                self.host.health_checked(worker, AttemptResult::Success, &[f64::from(choice % 4), 0.0]);
             }
-            _ => {}
         }
+        self.check_actions();
+        self.check_tokens();
     }
-}
 
-fn run(script: &[(u8, u8, u16)], settings: Settings) -> Vec<Action> {
-    let copies = settings.hedging_allowed;
-    let mut host = TestHost::new(settings, WORKERS);
-    let (mut seen, mut all, mut id) = (Seen::default(), Vec::new(), 0);
-    for (what, which, step) in script {
-        host.now += Micros::from(*step) * 100;
-        host.actions.clear();
-        match what % 8 {
-            0..=2 => {
-                id += 1;
-                let slots = 1 + u32::from(which % 2);
-                seen.open.insert(id, slots as usize);
-                host.submit(id, u16::from(which % 5), slots);
-            }
-            3 | 4 => {
-                let Some((job, attempt)) =
-                    seen.out.keys().nth(usize::from(*which) % seen.out.len().max(1)).copied()
-                else {
-                    continue;
-                };
-                seen.out.remove(&(job, attempt));
-                let endings = [
-                    AttemptResult::Success,
-                    AttemptResult::Success,
-                    AttemptResult::Error,
-                    AttemptResult::Overloaded,
-                    AttemptResult::TimedOut,
-                    AttemptResult::Reset,
-                    AttemptResult::ConnectFailed,
-                    AttemptResult::Cancelled,
-                ];
-                let result = endings[usize::from(*which) % 8];
-                if result == AttemptResult::Success {
-                    seen.open.remove(&job);
+    fn submit(&mut self, choice: u8) {
+        self.latest_job += 1;
+        let slots = 1 + u32::from(choice % 2);
+        self.unanswered.insert(self.latest_job, slots as usize);
+        self.host.submit(self.latest_job, u16::from(choice % 5), slots);
+    }
+
+    fn end(&mut self, (job, attempt): (u32, u8), choice: u8, latency: Micros) {
+        self.pending.remove(&(job, attempt));
+        let result = RESULTS[usize::from(choice) % RESULTS.len()];
+        if result == AttemptResult::Success {
+            self.unanswered.remove(&job);
+        }
+        self.host.handle(Event::AttemptEnded(AttemptOutcome {
+            job: JobId(job),
+            attempt: AttemptId(attempt),
+            result,
+            latency,
+            job_answered: !self.unanswered.contains_key(&job),
+            report: vec![f64::from(choice % 3), f64::NAN],
+        }));
+    }
+
+    /// A worker drains, or is ready again.
+    fn change_state(&mut self, choice: u8) {
+        let worker = 1 + u32::from(choice) % WORKERS;
+        self.draining.retain(|draining| *draining != worker);
+        let state = if choice % 2 == 0 {
+            EndpointState::Ready
+        } else {
+            self.draining.push(worker);
+            EndpointState::Draining
+        };
+        self.host.update_list(ListUpdate::Changes, vec![Endpoint { state, ..endpoint(worker) }]);
+    }
+
+    /// Checks the latest actions against what is legal, and remembers them.
+    fn check_actions(&mut self) {
+        for action in &self.host.actions {
+            match action {
+                Action::StartAttempt { job, worker, .. } => {
+                    assert!(self.unanswered.contains_key(&job.0), "sent after its answer");
+                    assert!(!self.draining.contains(&worker.0), "sent to a draining worker");
+                    let is_pending = self.pending.keys().any(|(pending, _)| *pending == job.0);
+                    assert!(self.hedging_allowed || !is_pending, "two attempts at once");
+                    let attempt = self.attempts.entry(job.0).or_default();
+                    let pending = Pending { worker: worker.0, slots: self.unanswered[&job.0] };
+                    self.pending.insert((job.0, *attempt), pending);
+                    *attempt += 1;
                 }
-                let done = !seen.open.contains_key(&job);
-                let report = vec![f64::from(*which % 3), f64::NAN];
-                let latency = Micros::from(*step) * 100;
-                host.handle(Event::AttemptEnded(AttemptOutcome {
-                    job: JobId(job),
-                    attempt: AttemptId(attempt),
-                    result,
-                    latency,
-                    job_answered: done,
-                    report,
-                }));
-            }
-            5 => host.tick(),
-            6 => {
-                let ready = which % 2 == 0;
-                let worker = 1 + u32::from(*which) % WORKERS;
-                seen.told_not.retain(|w| *w != worker);
-                let state = if ready { EndpointState::Ready } else { EndpointState::Draining };
-                if !ready {
-                    seen.told_not.push(worker);
+                Action::Reject { job, .. } | Action::Fail { job } => {
+                    assert!(self.unanswered.remove(&job.0).is_some(), "answered twice");
                 }
-                host.update_list(ListUpdate::Changes, vec![Endpoint { state, ..endpoint(worker) }]);
+                _ => {}
             }
-            _ => host.health_checked(
-                1 + u32::from(*which) % WORKERS,
-                AttemptResult::Success,
-                &[f64::from(*which % 4), 0.0],
-            ),
         }
-        account(&mut seen, &host.actions, copies);
-        for w in 1..=WORKERS {
-            let held: usize = seen.out.values().filter(|o| o.0 == w).map(|o| o.1).sum();
-            let (free, holds) = host.dispatcher.tokens(WorkerId(w));
-            assert_eq!(holds, held, "worker {w}: tokens lost or made up");
-            assert!(free + holds <= 40, "worker {w}: the count is not bounded");
-            assert!(free == 0 || !seen.told_not.contains(&w));
+    }
+
+    fn check_tokens(&self) {
+        for worker in 1..=WORKERS {
+            let at_worker = self.pending.values().filter(|pending| pending.worker == worker);
+            let expected: usize = at_worker.map(|pending| pending.slots).sum();
+            let (free, held) = self.host.dispatcher.tokens(WorkerId(worker));
+            assert_eq!(held, expected, "worker {worker}: tokens lost or made up");
+            assert!(free + held <= MAX_TOKENS, "worker {worker}: the number of tokens is not bounded");
+            assert!(free == 0 || !self.draining.contains(&worker));
+        }
+    }
+
+    /// Lets all deadlines pass.
+    fn finish(&mut self) {
+        self.host.now += 10 * SECOND;
+        let unanswered: Vec<u32> = self.unanswered.keys().copied().collect();
+        for job in unanswered {
+            self.host.actions.clear();
+            self.host.handle(Event::TimerExpired(DEADLINE + u64::from(job)));
+            self.check_actions();
         }
-        all.append(&mut host.actions.clone());
+        assert!(self.unanswered.is_empty(), "a job got no answer");
     }
-    host.now += 10 * SECOND;
-    for job in seen.open.keys().copied().collect::<Vec<_>>() {
-        host.actions.clear();
-        host.handle(Event::TimerExpired(DEADLINE + u64::from(job)));
-        account(&mut seen, &host.actions, copies);
+}
+
+/// Plays a script and returns all actions.
+fn run(script: &[Step], settings: Settings) -> Vec<Action> {
+    let mut run = Run::new(settings);
+    let mut actions = Vec::new();
+    for step in script {
+        run.step(*step);
+        actions.extend_from_slice(&run.host.actions);
     }
-    assert!(seen.open.is_empty(), "a job got no answer");
-    all
+    run.finish();
+    actions
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { failure_persistence: None, rng_seed: RngSeed::Fixed(7), ..ProptestConfig::with_cases(64) })]
+    #![proptest_config(ProptestConfig {
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(7),
+        ..ProptestConfig::with_cases(64)
+    })]
 
     #[test]
-    fn rules_hold_and_tokens_are_conserved(script in prop::collection::vec(any::<(u8, u8, u16)>(), 1..400), copies: bool) {
-        let settings = Settings { hedging_allowed: copies, reports_start: copies, ..settings() };
+    fn rules_hold_and_tokens_are_conserved(
+        script in prop::collection::vec(any::<Step>(), 1..400),
+        hedging_allowed: bool,
+    ) {
+        let settings = Settings { hedging_allowed, reports_start: hedging_allowed, ..settings() };
         let first = run(&script, settings.clone());
         prop_assert_eq!(first, run(&script, settings), "the same events give the same actions");
     }
@@ -146,8 +204,9 @@
         Job { id: JobId(5), class: 900, deadline: 0, size_hint: Some(0), slots: 0, key: 0, customer: 0 };
     host.actions.clear();
     host.handle(Event::JobArrived(job.clone()));
-    assert!(host.rejected(5), "past its time already, and still answered");
+    assert!(host.rejected(5), "its deadline has passed, and still it is answered");
     host.actions.clear();
-    host.handle(Event::JobArrived(Job { id: JobId(6), deadline: host.now + SECOND, slots: u32::MAX, ..job }));
+    let deadline = host.now + SECOND;
+    host.handle(Event::JobArrived(Job { id: JobId(6), deadline, slots: u32::MAX, ..job }));
     assert!(host.rejected(6));
 }
--- a/crates/decision/tests/service_rules.rs
+++ b/crates/decision/tests/service_rules.rs
@@ -81,8 +81,8 @@
 
 #[test]
 fn rule_2_one_pending_attempt_without_hedging() {
-    let told = Settings { reports_start: true, ..settings() };
-    let mut host = TestHost::new(told, 4);
+    let settings = Settings { reports_start: true, ..settings() };
+    let mut host = TestHost::new(settings, 4);
     host.submit(1, 0, 1).unwrap();
     host.now += SECOND;
     host.actions.clear();
@@ -125,15 +125,15 @@
     }
     // Three seconds at a tenth of two slots, three times over, is 1.8 s of work, rising to 4.2 s: jobs take 0.1 s.
     assert!(sent > 0, "it is not shut out");
-    assert!(sent as f64 * 0.1 <= 3.0 * 0.24 * 2.0 * 3.0, "{sent} jobs pushed onto a cold worker");
+    assert!(sent as f64 * 0.1 <= 3.0 * 0.24 * 2.0 * 3.0, "{sent} jobs sent to a worker in slow start");
 }
 
 #[test]
 fn overloaded_result_may_have_run_if_the_settings_say_so() {
     // Workers may shed work that they had started, and a job must not take effect twice.
     for class in 0..4 {
-        let told = Settings { overloaded_may_have_run: true, ..settings() };
-        let mut host = TestHost::new(told, 9);
+        let settings = Settings { overloaded_may_have_run: true, ..settings() };
+        let mut host = TestHost::new(settings, 9);
         let first = host.submit(1, class, 1).unwrap();
         host.end_attempt(1, 0, AttemptResult::Overloaded);
         match class {
