--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -28,4 +28,3 @@
 pub use worker::{HealthCheck, SlowStartBudget, Worker};
 pub use worker_health::WorkerHealth;
 pub use worker_table::WorkerTable;
-
--- a/crates/decision/tests/class_rules.rs
+++ b/crates/decision/tests/class_rules.rs
@@ -1,15 +1,15 @@
-//! Rules that hold only where the settings state them: placement and order by key.
+//! Rules that hold only where the settings state them: restricted classes and key order.
 
 mod common;
 use common::*;
 use postusher_decision::*;
 
-/// Class 0 is open to machine kind 1 in zone 0 only.
-fn bound() -> Settings {
-    let mut s = settings();
-    s.classes[0].allowed_kinds = Some(vec![1]);
-    s.classes[0].allowed_zones = Some(vec![0]);
-    s
+/// Class 0 may only run on machine kind 1 in zone 0.
+fn restricted_settings() -> Settings {
+    let mut settings = settings();
+    settings.classes[0].allowed_kinds = Some(vec![1]);
+    settings.classes[0].allowed_zones = Some(vec![0]);
+    settings
 }
 
 /// A thousand workers, of which 7 and 900 are of kind 1, and 900 stands in zone 1.
@@ -22,14 +22,14 @@
 #[test]
 fn restricted_class_finds_its_only_worker_in_a_large_fleet() {
     // A look at the first few of a thousand workers would find none that the class may use.
-    let mut host = TestHost::new(bound(), 0);
+    let mut host = TestHost::new(restricted_settings(), 0);
     host.update_list(ListUpdate::Complete, fleet(EndpointState::Ready));
     assert_eq!(host.submit(1, 0, 1), Some(7));
 }
 
 #[test]
 fn restricted_class_never_goes_to_other_workers() {
-    let mut host = TestHost::new(bound(), 0);
+    let mut host = TestHost::new(restricted_settings(), 0);
     host.update_list(ListUpdate::Complete, fleet(EndpointState::Ready));
     host.submit(1, 0, 1).expect("its worker");
     host.end_attempt(1, 0, AttemptResult::Overloaded);
@@ -39,21 +39,21 @@
     }
     host.update_list(ListUpdate::Changes, vec![fleet(EndpointState::Draining)[6].clone()]);
     assert!(host.submit(200, 0, 1).is_none() && host.rejected(200), "nor when it drains");
-    assert!(host.submit(201, 1, 1).is_some_and(|w| w != 7), "other classes are not bound");
+    assert!(host.submit(201, 1, 1).is_some_and(|w| w != 7), "other classes are not restricted");
 }
 
 #[test]
 fn empty_list_of_allowed_zones_allows_no_worker() {
-    let mut s = bound();
-    s.classes[0].allowed_zones = Some(Vec::new());
-    let mut host = TestHost::new(s, 0);
+    let mut settings = restricted_settings();
+    settings.classes[0].allowed_zones = Some(Vec::new());
+    let mut host = TestHost::new(settings, 0);
     host.update_list(ListUpdate::Complete, fleet(EndpointState::Ready));
     assert!(host.submit(1, 0, 1).is_none() && host.rejected(1));
 }
 
 #[test]
 fn hedged_request_of_a_restricted_class_is_restricted_too() {
-    let settings = Settings { reports_start: true, hedging_allowed: true, ..bound() };
+    let settings = Settings { reports_start: true, hedging_allowed: true, ..restricted_settings() };
     let mut host = TestHost::new(settings, 0);
     host.update_list(ListUpdate::Complete, fleet(EndpointState::Ready));
     host.submit(1, 0, 1).expect("its worker");
@@ -74,21 +74,21 @@
     assert_eq!(host.worker_of(1), Some(((first - 1) ^ 1) + 1), "its one neighbour");
 }
 
-/// Class 0 keeps its order by key; a key rests half a second.
-fn ordered(pause: Micros) -> Settings {
-    let mut s = Settings {
+/// Class 0 keeps the order of a key, which pauses for `pause` after an uncertain end.
+fn settings_with_key_order(pause: Micros) -> Settings {
+    let mut settings = Settings {
         key_order_pause: pause,
         sends_retry_after: true,
         max_retry_after: 2 * SECOND,
         ..settings()
     };
-    s.classes[0].ordered_by_key = true;
-    s
+    settings.classes[0].ordered_by_key = true;
+    settings
 }
 
-/// Lets the timers that are due come.
-fn timers(host: &mut TestHost, all: &[Action], from: Micros) {
-    for a in all {
+/// Expires those timers among `actions`, which were set at time `from`, that are due.
+fn expire_timers(host: &mut TestHost, actions: &[Action], from: Micros) {
+    for a in actions {
         if let Action::SetTimer { after, timer } = a {
             if *timer != 0 && from + after <= host.now {
                 host.handle(Event::TimerExpired(*timer));
@@ -99,10 +99,10 @@
 
 #[test]
 fn jobs_of_one_key_run_in_order() {
-    let mut host = TestHost::new(ordered(0), 9);
-    // Times are known to be short, so that slack covers the jobs before.
+    let mut host = TestHost::new(settings_with_key_order(0), 9);
+    // Running times are known to be short, so that the slack covers the jobs before.
     (1..9).for_each(|id| {
-        host.submit_with_key(id, 0, 1, 0).expect("a job without a key is not bound");
+        host.submit_with_key(id, 0, 1, 0).expect("a job without a key has no order");
         host.end_attempt(id, 0, AttemptResult::Success);
     });
     host.submit_with_key(21, 0, 1, 5).expect("the first has its turn at once");
@@ -110,19 +110,20 @@
     assert_eq!(host.submit_with_key(23, 0, 1, 5), None);
     assert!(!host.rejected(23) && host.submit_with_key(24, 0, 1, 6).is_some(), "another key's turn");
     host.end_attempt(21, 0, AttemptResult::Error);
-    assert!(host.worker_of(21).is_some() && host.worker_of(22).is_none(), "who has the turn is tried again");
+    assert!(host.worker_of(21).is_some() && host.worker_of(22).is_none(), "the first of its key is retried");
     host.end_attempt(21, 1, AttemptResult::Success);
     assert!(host.worker_of(22).is_some() && host.worker_of(23).is_none());
     host.actions.clear();
     host.handle(Event::ClientDisconnected(JobId(22)));
-    assert!(host.worker_of(23).is_none(), "its client has left, but its attempt is still out");
+    assert!(host.worker_of(23).is_none(), "its client has disconnected, but its attempt is pending");
     host.end_attempt(22, 0, AttemptResult::Cancelled);
     assert!(host.worker_of(23).is_some());
 }
 
 #[test]
 fn key_pauses_after_an_attempt_with_an_uncertain_end() {
-    let mut host = TestHost::new(Settings { max_attempts: 1, ..ordered(300 * MILLISECOND) }, 9);
+    let mut host =
+        TestHost::new(Settings { max_attempts: 1, ..settings_with_key_order(300 * MILLISECOND) }, 9);
     for (n, result) in
         [AttemptResult::TimedOut, AttemptResult::Reset, AttemptResult::Cancelled].into_iter().enumerate()
     {
@@ -134,13 +135,14 @@
         host.submit_with_key(id + 10, 0, 1, 5).expect("a turn");
         host.end_attempt(id + 10, 0, result);
         assert!(host.rejected(id + 10));
-        let (told, at) = (host.actions.clone(), host.now);
-        assert_eq!(host.submit_with_key(id + 11, 0, 1, 5), None, "{result:?}: the key rests");
+        let actions = host.actions.clone();
+        let at = host.now;
+        assert_eq!(host.submit_with_key(id + 11, 0, 1, 5), None, "{result:?}: the key pauses");
         host.now = at + 299 * MILLISECOND;
-        timers(&mut host, &told, at);
+        expire_timers(&mut host, &actions, at);
         assert_eq!(host.worker_of(id + 11), None, "{result:?}: still");
         host.now = at + 300 * MILLISECOND;
-        timers(&mut host, &told, at);
+        expire_timers(&mut host, &actions, at);
         assert!(host.worker_of(id + 11).is_some() || host.rejected(id + 11), "{result:?}: no more");
         host.end_attempt(id + 11, 0, AttemptResult::Success);
     }
@@ -149,7 +151,7 @@
 #[test]
 fn job_that_would_wait_too_long_for_its_turn_is_rejected() {
     // A turn may come too late or never.
-    let mut host = TestHost::new(ordered(0), 9);
+    let mut host = TestHost::new(settings_with_key_order(0), 9);
     let sent = host.submit_with_key(1, 0, 1, 5);
     assert!(sent.is_some());
     let mut waiting = Vec::new();
@@ -166,7 +168,7 @@
     let at = host.now;
     host.now += 450 * MILLISECOND;
     host.actions.clear();
-    timers(&mut host, &waiting, at);
+    expire_timers(&mut host, &waiting, at);
     let owed = (2..rejected.unwrap()).all(|id| host.rejected(id));
     assert!(owed, "the turn did not come in time");
     assert!(host.submit_with_key(99, 0, 1, 5).is_none(), "the first is not over yet");
--- a/crates/decision/tests/common/mod.rs
+++ b/crates/decision/tests/common/mod.rs
@@ -73,6 +73,21 @@
     }
 }
 
+/// A linear congruential generator for the models of tests, the same on every machine and none of the module's.
+pub struct ModelRandom(u64);
+
+impl ModelRandom {
+    pub fn new(seed: u64) -> Self {
+        ModelRandom(seed)
+    }
+
+    /// Uniform from 0 to below 1.
+    pub fn next_fraction(&mut self) -> f64 {
+        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 11) as f64 / (1u64 << 53) as f64
+    }
+}
+
 impl TestHost {
     /// A dispatcher with workers 1 to `workers`, past their slow start, each with two free slots.
     pub fn new(settings: Settings, workers: u32) -> TestHost {
--- a/crates/decision/tests/endpoint_list.rs
+++ b/crates/decision/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Whether jobs may go by the list that is held, and what becomes of those that may not.
+//! Whether jobs may be placed by the endpoint list, and what becomes of those that may not.
 
 mod common;
 use common::*;
@@ -28,11 +28,11 @@
     host.now = start + time;
 }
 
-fn drained(worker: u32) -> Endpoint {
+fn draining(worker: u32) -> Endpoint {
     Endpoint { state: EndpointState::Draining, ..endpoint(worker) }
 }
 
-fn begin(worker: u32) -> AttemptContext {
+fn attempt_context(worker: u32) -> AttemptContext {
     AttemptContext {
         worker: WorkerId(worker),
         job_open: true,
@@ -48,7 +48,7 @@
     assert!(host.submit(1, 0, 1).is_none() && !host.rejected(1));
     assert!(host.submit(2, 0, 1).is_none() && !host.rejected(2));
     host.actions.clear();
-    host.update_list(ListUpdate::Changes, vec![drained(1)]);
+    host.update_list(ListUpdate::Changes, vec![draining(1)]);
     assert_eq!((host.worker_of(1), host.worker_of(2)), (Some(2), Some(2)));
     assert!(host.submit(3, 0, 1).is_some());
 }
@@ -67,22 +67,24 @@
 fn replaced_list_is_used_for_half_of_the_drain_grace() {
     let mut host = TestHost::new(settings(), 2);
     let (at, grace) = (host.now, settings().drain_grace);
-    // The module may hear of it late: the time counts from when the answer began.
+    // The dispatcher may be told late: the time counts from when the answer started.
     host.now += grace / 4;
     host.update_list(ListUpdate::AnswerStarted { at }, Vec::new());
-    assert!(host.submit(1, 0, 1).is_some() && host.dispatcher.check_send(&begin(1), host.now).is_ok());
+    assert!(
+        host.submit(1, 0, 1).is_some() && host.dispatcher.check_send(&attempt_context(1), host.now).is_ok()
+    );
     // More of it does not give more time.
     host.update_list(ListUpdate::AnswerStarted { at: host.now }, Vec::new());
     host.now = at + grace / 2;
-    assert_eq!(host.dispatcher.check_send(&begin(1), host.now), Err(SendDenial::ListNotCurrent));
+    assert_eq!(host.dispatcher.check_send(&attempt_context(1), host.now), Err(SendDenial::ListNotCurrent));
     assert!(host.submit(2, 0, 1).is_none() && !host.rejected(2));
     // That a call fails changes nothing; a list that comes whole does.
     host.update_list(ListUpdate::Failed, Vec::new());
     assert!(!host.dispatcher.is_list_current(host.now));
     host.actions.clear();
-    host.update_list(ListUpdate::Complete, vec![endpoint(1), drained(2)]);
+    host.update_list(ListUpdate::Complete, vec![endpoint(1), draining(2)]);
     assert_eq!(host.worker_of(2), Some(1));
-    assert_eq!(host.dispatcher.check_send(&begin(2), host.now), Err(SendDenial::WorkerUnavailable));
+    assert_eq!(host.dispatcher.check_send(&attempt_context(2), host.now), Err(SendDenial::WorkerUnavailable));
 }
 
 #[test]
@@ -100,11 +102,20 @@
 #[test]
 fn each_send_denial_has_its_own_reason() {
     let host = TestHost::new(settings(), 1);
-    let denied = |begin: AttemptContext| host.dispatcher.check_send(&begin, host.now).err();
-    assert_eq!(denied(begin(1)), None);
-    assert_eq!(denied(AttemptContext { job_open: false, ..begin(1) }), Some(SendDenial::JobEnded));
-    assert_eq!(denied(AttemptContext { attempt_pending: false, ..begin(1) }), Some(SendDenial::AttemptEnded));
-    assert_eq!(denied(AttemptContext { time_left: 0, ..begin(1) }), Some(SendDenial::DeadlinePassed));
-    assert_eq!(denied(begin(9)), Some(SendDenial::WorkerUnavailable));
-    assert_eq!(denied(AttemptContext { address_current: false, ..begin(1) }), Some(SendDenial::WorkerMoved));
+    let denied = |context: AttemptContext| host.dispatcher.check_send(&context, host.now).err();
+    assert_eq!(denied(attempt_context(1)), None);
+    assert_eq!(denied(AttemptContext { job_open: false, ..attempt_context(1) }), Some(SendDenial::JobEnded));
+    assert_eq!(
+        denied(AttemptContext { attempt_pending: false, ..attempt_context(1) }),
+        Some(SendDenial::AttemptEnded)
+    );
+    assert_eq!(
+        denied(AttemptContext { time_left: 0, ..attempt_context(1) }),
+        Some(SendDenial::DeadlinePassed)
+    );
+    assert_eq!(denied(attempt_context(9)), Some(SendDenial::WorkerUnavailable));
+    assert_eq!(
+        denied(AttemptContext { address_current: false, ..attempt_context(1) }),
+        Some(SendDenial::WorkerMoved)
+    );
 }
--- a/crates/decision/tests/large_fleet.rs
+++ b/crates/decision/tests/large_fleet.rs
@@ -28,22 +28,22 @@
 fn health_checks_are_bounded_by_arrivals() {
     // Health checks cost something and are useless while no jobs arrive.
     let mut host = TestHost::new(settings_at_scale(), 50);
-    let mut probes = 0;
+    let mut checks = 0;
     for id in 0..20 {
         host.submit(id, 0, 1);
         for _ in 0..100 {
             host.now += 50 * MILLISECOND;
             host.tick();
-            let asked: Vec<u32> = host
+            let checked: Vec<u32> = host
                 .actions
                 .drain(..)
                 .filter_map(|a| if let Action::CheckHealth { worker } = a { Some(worker.0) } else { None })
                 .collect();
-            probes += asked.len();
-            asked.into_iter().for_each(|w| host.health_checked(w, AttemptResult::Success, &[2.0, 0.0]));
+            checks += checked.len();
+            host.report_loads(checked, &[2.0, 0.0]);
         }
     }
-    assert!((10..=23).contains(&probes), "{probes} probes for 20 jobs");
+    assert!((10..=23).contains(&checks), "{checks} health checks for 20 jobs");
 }
 
 #[test]
@@ -99,13 +99,12 @@
         let mut host = TestHost::with_seed(settings, seed, SECOND);
         host.update_list(ListUpdate::Cached, vec![endpoint(1)]);
         assert!(!host.actions.contains(&Action::WatchEndpoints));
-        let list = REQUEST_LIST;
         let after = host.actions.iter().find_map(|a| match a {
-            Action::SetTimer { after, timer } if *timer == list => Some(*after),
+            Action::SetTimer { after, timer } if *timer == REQUEST_LIST => Some(*after),
             _ => None,
         });
         host.actions.clear();
-        host.handle(Event::TimerExpired(list));
+        host.handle(Event::TimerExpired(REQUEST_LIST));
         assert_eq!(host.actions, vec![Action::WatchEndpoints]);
         after.expect("a timer for the list")
     };
@@ -140,9 +139,9 @@
 #[test]
 fn unrestricted_jobs_spare_workers_of_restricted_classes() {
     // Other classes must not fill the workers of a restricted class while the rest are idle.
-    let mut s = settings();
-    s.classes[1].allowed_kinds = Some(vec![1]);
-    let mut host = TestHost::new(s, 0);
+    let mut settings = settings();
+    settings.classes[1].allowed_kinds = Some(vec![1]);
+    let mut host = TestHost::new(settings, 0);
     host.update_list(
         ListUpdate::Complete,
         (1..=10).map(|w| Endpoint { kind: u16::from(w <= 5), ..endpoint(w) }).collect(),
@@ -191,19 +190,19 @@
     host.update_list(ListUpdate::Cached, (1..=3).map(endpoint).collect());
     for id in 1..=20 {
         host.now += 100 * MILLISECOND;
-        (1..=3).for_each(|w| {
-            host.health_checked(w, AttemptResult::Success, if w == 2 { &[21.0, 3.0] } else { &[0.0, 4.0] })
-        });
+        host.health_checked(1, AttemptResult::Success, &[0.0, 4.0]);
+        host.health_checked(2, AttemptResult::Success, &[21.0, 3.0]);
+        host.health_checked(3, AttemptResult::Success, &[0.0, 4.0]);
         host.submit(id, 0, 1);
         host.end_attempt(id, 0, AttemptResult::Success);
     }
-    (1..=3).for_each(|w| {
-        host.health_checked(w, AttemptResult::Success, if w == 2 { &[21.0, 3.0] } else { &[1.0, 3.0] })
-    });
+    host.health_checked(1, AttemptResult::Success, &[1.0, 3.0]);
+    host.health_checked(2, AttemptResult::Success, &[21.0, 3.0]);
+    host.health_checked(3, AttemptResult::Success, &[1.0, 3.0]);
     for wait in [0, 3] {
         host.now += wait * SECOND;
-        let went: Vec<_> = (30..36).filter_map(|id| host.submit(id + 10 * wait as u32, 0, 1)).collect();
-        assert!(!went.is_empty() && !went.contains(&2), "after {wait} s: {went:?}");
+        let workers: Vec<_> = (30..36).filter_map(|id| host.submit(id + 10 * wait as u32, 0, 1)).collect();
+        assert!(!workers.is_empty() && !workers.contains(&2), "after {wait} s: {workers:?}");
         (30..36).for_each(|id| host.end_attempt(id + 10 * wait as u32, 0, AttemptResult::Success));
     }
 }
@@ -222,16 +221,7 @@
         let (id, worker) = (JobId(1_000 + step), WorkerId(1 + step % 2));
         host.handle(Event::PlacementOverride { job: id, worker, required: true });
         if host.submit(id.0, 0, 1).is_some() {
-            let (result, latency, done, report) =
-                (AttemptResult::Success, 100 * MILLISECOND, true, vec![40.0, 0.0]);
-            host.handle(Event::AttemptEnded(AttemptOutcome {
-                job: id,
-                attempt: AttemptId(0),
-                result,
-                latency,
-                job_answered: done,
-                report,
-            }));
+            host.end_attempt_after(id.0, 0, AttemptResult::Success, 100 * MILLISECOND, vec![40.0, 0.0]);
         }
         if step % 20 == 0 {
             host.health_checked(3 + step / 20, AttemptResult::Success, &[1.0, 4.0]);
@@ -239,7 +229,7 @@
     }
     host.tick();
     let unknown = (1..=30).filter_map(|id| host.submit(id, 0, 1)).filter(|w| *w > 12).count();
-    assert!(unknown > 0, "workers that nothing was heard of are as most are: nearly idle");
+    assert!(unknown > 0, "workers without a report count as most do: nearly idle");
 }
 
 #[test]
@@ -258,19 +248,22 @@
     host.update_list(ListUpdate::Cached, (1..=60).map(listed).collect());
     let far = |host: &mut TestHost, from: u32| {
         host.now += 10 * SECOND;
-        let went: Vec<_> = (from..from + 20)
+        let workers: Vec<_> = (from..from + 20)
             .map(|id| {
                 let worker = host.submit(id, 0, 1).expect("nothing is rejected");
                 host.end_attempt(id, 0, AttemptResult::Success);
                 worker
             })
             .collect();
-        went.into_iter().filter(|w| *w > 30).count()
+        workers.into_iter().filter(|w| *w > 30).count()
     };
-    assert!(far(&mut host, 100) <= 6, "as long as nothing is known, mostly the nearer ones");
+    assert!(far(&mut host, 100) <= 6, "as long as nothing is known, mostly the near zone");
     host.report_loads(1..=10, &[30.0, 0.0]);
     host.report_loads(31..=40, &[1.0, 3.0]);
-    assert!(far(&mut host, 200) >= 18, "twenty others were not asked, but are where ten are crowded");
+    assert!(
+        far(&mut host, 200) >= 18,
+        "twenty others have not reported, but are in the zone where ten are full"
+    );
     host.report_loads(11..=30, &[0.0, 4.0]);
-    assert!(far(&mut host, 300) <= 6, "and when it has room again, it is the nearer one");
+    assert!(far(&mut host, 300) <= 6, "and when it has free slots again, the near zone");
 }
--- a/crates/decision/tests/outlier_detection.rs
+++ b/crates/decision/tests/outlier_detection.rs
@@ -1,64 +1,62 @@
-//! Health: outliers against the fleet, silence, errors, and the way back.
+//! Outlier detection, half-open workers, circuit breakers, and calls to discovery that fail.
 
 mod common;
 use common::*;
 use postusher_decision::*;
 
-/// Plays jobs for `n` arrivals; `answer` says how the job's worker behaves. Gives how many each worker got.
+/// Submits `count` jobs that are not idempotent; `behavior` is how a worker answers, and after which time. Returns how
+/// many jobs each worker got.
 fn traffic(
     host: &mut TestHost,
     first: u32,
-    n: u32,
-    answer: impl Fn(u32) -> (AttemptResult, Micros),
+    count: u32,
+    behavior: impl Fn(u32) -> (AttemptResult, Micros),
 ) -> std::collections::BTreeMap<u32, u32> {
     let mut got = std::collections::BTreeMap::new();
-    for id in first..first + n {
+    for id in first..first + count {
         host.now += 20 * MILLISECOND;
         let Some(worker) = host.submit(id, 2, 1) else { continue };
         *got.entry(worker).or_insert(0) += 1;
-        let (result, latency) = answer(worker);
+        let (result, latency) = behavior(worker);
         host.end_attempt_after(id, 0, result, latency, Vec::new());
     }
     got
 }
 
+fn all_serve(_worker: u32) -> (AttemptResult, Micros) {
+    (AttemptResult::Success, 100 * MILLISECOND)
+}
+
+/// Worker `unusual` answers at once with `result`; the others serve.
+fn only(unusual: u32, result: AttemptResult) -> impl Fn(u32) -> (AttemptResult, Micros) {
+    move |worker| if worker == unusual { (result, MILLISECOND) } else { all_serve(worker) }
+}
+
 #[test]
 fn worker_that_fails_fast_does_not_attract_jobs() {
     // Instant errors release their tokens at once, which could attract job after job.
     let mut host = TestHost::new(settings(), 6);
-    let got = traffic(&mut host, 1, 300, |w| {
-        if w == 3 {
-            (AttemptResult::Error, MILLISECOND)
-        } else {
-            (AttemptResult::Success, 100 * MILLISECOND)
-        }
-    });
+    let got = traffic(&mut host, 1, 300, only(3, AttemptResult::Error));
     assert!(got.get(&3).copied().unwrap_or(0) < 10, "{got:?}");
 }
 
 #[test]
 fn worker_that_rejects_fast_does_not_attract_jobs() {
     let mut host = TestHost::new(settings(), 6);
-    let got = traffic(&mut host, 1, 300, |w| {
-        if w == 3 {
-            (AttemptResult::Overloaded, MILLISECOND)
-        } else {
-            (AttemptResult::Success, 100 * MILLISECOND)
-        }
-    });
+    let got = traffic(&mut host, 1, 300, only(3, AttemptResult::Overloaded));
     assert!(got.get(&3).copied().unwrap_or(0) < 20, "{got:?}");
 }
 
 #[test]
 fn slow_worker_is_ejected_but_slow_fleet_is_not() {
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 120, |_| (AttemptResult::Success, 100 * MILLISECOND));
-    let got = traffic(&mut host, 200, 300, |w| {
-        (AttemptResult::Success, if w == 3 { 900 * MILLISECOND } else { 100 * MILLISECOND })
+    traffic(&mut host, 1, 120, all_serve);
+    let got = traffic(&mut host, 200, 300, |worker| {
+        (AttemptResult::Success, if worker == 3 { 900 * MILLISECOND } else { 100 * MILLISECOND })
     });
     assert!(got.get(&3).copied().unwrap_or(0) < 20, "{got:?}");
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 120, |_| (AttemptResult::Success, 100 * MILLISECOND));
+    traffic(&mut host, 1, 120, all_serve);
     let got = traffic(&mut host, 200, 300, |_| (AttemptResult::Success, 900 * MILLISECOND));
     // One may be ejected before the median has moved; it comes back with time.
     assert!(got.values().filter(|n| **n > 30).count() >= 5, "all but one go on serving: {got:?}");
@@ -67,7 +65,7 @@
 #[test]
 fn at_most_a_third_of_the_fleet_is_ejected() {
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 120, |_| (AttemptResult::Success, 100 * MILLISECOND));
+    traffic(&mut host, 1, 120, all_serve);
     traffic(&mut host, 200, 200, |w| {
         if w < 4 {
             (AttemptResult::Error, MILLISECOND)
@@ -75,28 +73,23 @@
             (AttemptResult::Success, 100 * MILLISECOND)
         }
     });
-    let shut = (1..=6).filter(|w| host.dispatcher.tokens(WorkerId(*w)) == (0, 0)).count();
-    assert!((1..=2).contains(&shut), "{shut}");
+    let ejected = (1..=6).filter(|w| host.dispatcher.tokens(WorkerId(*w)) == (0, 0)).count();
+    assert!((1..=2).contains(&ejected), "{ejected}");
 }
 
 #[test]
 fn ejected_worker_returns_half_open_and_recovers() {
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 100, |w| {
-        if w == 3 {
-            (AttemptResult::Error, MILLISECOND)
-        } else {
-            (AttemptResult::Success, 100 * MILLISECOND)
-        }
-    });
+    traffic(&mut host, 1, 100, only(3, AttemptResult::Error));
     assert_eq!(host.dispatcher.tokens(WorkerId(3)), (0, 0));
     host.now += 10 * SECOND;
     host.tick();
     let before: Vec<_> = (1000..1030).filter_map(|id| host.submit(id, 2, 1)).collect();
-    assert!(!before.contains(&3), "no job that must not run twice is risked on a trial");
+    assert!(!before.contains(&3), "no job that must not run twice is risked at a half-open worker");
     (1000..1030).for_each(|id| host.end_attempt(id, 0, AttemptResult::Success));
-    let trial = (2000..2020).find(|id| host.submit(*id, 0, 1) == Some(3)).expect("a trial job");
-    host.end_attempt(trial, 0, AttemptResult::Success);
+    let first_back =
+        (2000..2020).find(|id| host.submit(*id, 0, 1) == Some(3)).expect("a job for the half-open worker");
+    host.end_attempt(first_back, 0, AttemptResult::Success);
     assert!(host.dispatcher.tokens(WorkerId(3)).0 > 0);
 }
 
@@ -104,9 +97,9 @@
 fn silent_worker_is_ejected_without_an_outcome() {
     // A machine may accept work and never answer.
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 120, |_| (AttemptResult::Success, 100 * MILLISECOND));
-    let stuck: Vec<_> = (500..512).map(|id| (id, host.submit(id, 0, 1))).collect();
-    for (id, worker) in stuck {
+    traffic(&mut host, 1, 120, all_serve);
+    let sent: Vec<_> = (500..512).map(|id| (id, host.submit(id, 0, 1))).collect();
+    for (id, worker) in sent {
         if worker != Some(3) {
             host.end_attempt(id, 0, AttemptResult::Success);
         }
@@ -179,19 +172,14 @@
 fn failed_half_open_worker_does_not_recover_when_the_whole_fleet_fails() {
     // With a high median a worker could leave the half-open state by failing fast.
     let mut host = TestHost::new(settings(), 6);
-    traffic(&mut host, 1, 100, |w| {
-        if w == 3 {
-            (AttemptResult::Error, MILLISECOND)
-        } else {
-            (AttemptResult::Success, 100 * MILLISECOND)
-        }
-    });
+    traffic(&mut host, 1, 100, only(3, AttemptResult::Error));
     traffic(&mut host, 200, 400, |_| (AttemptResult::Error, MILLISECOND));
     assert_eq!(host.dispatcher.tokens(WorkerId(3)), (0, 0));
     host.now += 30 * SECOND;
     host.tick();
-    let trial = (1000..1100).find(|id| host.submit(*id, 0, 1) == Some(3)).expect("a trial job");
-    host.end_attempt(trial, 0, AttemptResult::Error);
+    let first_back =
+        (1000..1100).find(|id| host.submit(*id, 0, 1) == Some(3)).expect("a job for the half-open worker");
+    host.end_attempt(first_back, 0, AttemptResult::Error);
     assert_eq!(host.dispatcher.tokens(WorkerId(3)), (0, 0));
 }
 
@@ -200,20 +188,12 @@
     // A healthy worker may reject one class above a rate and still serve the others.
     for (free, healthy) in [(2.0, true), (0.0, false)] {
         let mut host = TestHost::new(settings(), 6);
-        traffic(&mut host, 1, 60, |_| (AttemptResult::Success, 100 * MILLISECOND));
-        // Three jobs are out at one worker before the first comes back: none of them has been warned.
+        traffic(&mut host, 1, 60, all_serve);
+        // Several jobs are pending at one worker before the first is rejected.
         let sent: Vec<_> = (100..112).filter_map(|id| Some((id, host.submit(id, 1, 1)?))).collect();
         for (id, worker) in &sent {
             let result = if *worker == 3 { AttemptResult::Overloaded } else { AttemptResult::Success };
-            let (job, done, report) = (JobId(*id), *worker != 3, vec![free, 0.0]);
-            host.handle(Event::AttemptEnded(AttemptOutcome {
-                job,
-                attempt: AttemptId(0),
-                result,
-                latency: 100 * MILLISECOND,
-                job_answered: done,
-                report,
-            }));
+            host.end_attempt_after(*id, 0, result, 100 * MILLISECOND, vec![free, 0.0]);
         }
         assert!(sent.iter().filter(|s| s.1 == 3).count() >= 2);
         assert_eq!(host.dispatcher.is_ejected(WorkerId(3)), !healthy, "{free} free");
@@ -235,7 +215,7 @@
         let settings = Settings { reports_start: true, hedging_allowed: true, ..settings() };
         let mut host = TestHost::new(settings, 1);
         host.submit(1, class, 1).unwrap();
-        host.now += 510 * MILLISECOND; // goal 250 ms, and as much again for a running time taken as the goal
+        host.now += 510 * MILLISECOND; // objective 250 ms, and as much again for an expected running time of 250 ms
         host.actions.clear();
         host.handle(Event::TimerExpired(START_OVERDUE + 1));
         assert_eq!((host.rejected(1), host.failed(1)), (rejected, !rejected), "class {class}");
@@ -278,7 +258,7 @@
         let worker = host.submit(id, 0, 1).unwrap();
         host.now += 100 * MILLISECOND;
         host.end_attempt(id, 0, AttemptResult::Success);
-        // A second one goes out with less time than such jobs take.
+        // A second one is sent with less time than such jobs take.
         let short = Job {
             id: JobId(1_000 + id),
             class: 0,
@@ -290,16 +270,7 @@
         };
         host.handle(Event::JobArrived(short));
         host.now += 50 * MILLISECOND;
-        let latency = 50 * MILLISECOND;
-        let outcome = |result| AttemptOutcome {
-            job: JobId(1_000 + id),
-            attempt: AttemptId(0),
-            result,
-            latency,
-            job_answered: false,
-            report: vec![],
-        };
-        host.handle(Event::AttemptEnded(outcome(AttemptResult::TimedOut)));
+        host.end_attempt_after(1_000 + id, 0, AttemptResult::TimedOut, 50 * MILLISECOND, Vec::new());
         assert!(!host.dispatcher.is_ejected(WorkerId(worker)), "ejected after {id}");
     }
     assert!((1..=3).all(|w| !host.dispatcher.is_ejected(WorkerId(w))));
--- a/crates/decision/tests/overload_recovery.rs
+++ b/crates/decision/tests/overload_recovery.rs
@@ -125,7 +125,8 @@
     dispatchers: Vec<Dispatcher>,
     workers: BTreeMap<u32, Worker>,
     open_jobs: BTreeMap<(usize, JobId), OpenJob>,
-    random_state: u64,
+    /// What clients do; independent of what dispatchers draw.
+    random: ModelRandom,
     seconds: Vec<Second>,
 }
 
@@ -142,7 +143,7 @@
             settings,
             workers: (1..=WORKERS).map(|worker| (worker, Worker::default())).collect(),
             open_jobs: BTreeMap::new(),
-            random_state: seed,
+            random: ModelRandom::new(seed),
             seconds: vec![Second::default(); END as usize],
         };
         for dispatcher in 0..DISPATCHERS {
@@ -165,13 +166,6 @@
         self.due.push(Reverse(Due(self.now + wait, self.serial, happening)));
     }
 
-    /// Uniform from 0 to below 1. A generator of its own, so that what dispatchers draw does not change what clients do.
-    fn draw(&mut self) -> f64 {
-        self.random_state =
-            self.random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
-        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
-    }
-
     fn happen(&mut self, happening: Happening) {
         match happening {
             Happening::NextClient => self.next_client(),
@@ -190,9 +184,10 @@
     fn next_client(&mut self) {
         let load = if BURST.contains(&(self.now / SECOND)) { BURST_LOAD } else { USUAL_LOAD };
         let rate = load * (WORKERS as usize * SLOTS) as f64 / MEAN_RUNNING_TIME as f64;
-        let gap = (-(1.0 - self.draw()).ln() / rate) as Micros;
-        let dispatcher = (self.draw() * DISPATCHERS as f64) as usize;
-        let running_time = (MEAN_RUNNING_TIME as f64 * -(1.0 - self.draw()).ln()) as Micros + 1;
+        let gap = (-(1.0 - self.random.next_fraction()).ln() / rate) as Micros;
+        let dispatcher = (self.random.next_fraction() * DISPATCHERS as f64) as usize;
+        let running_time =
+            (MEAN_RUNNING_TIME as f64 * -(1.0 - self.random.next_fraction()).ln()) as Micros + 1;
         if let Some(second) = self.seconds.get_mut((self.now / SECOND) as usize) {
             second.submitted += 1;
         }
@@ -332,7 +327,7 @@
         let Some(open) = self.open_jobs.remove(&(dispatcher, job)) else { return };
         if open.tries + 1 < MAX_TRIES {
             let retry = Happening::Submission {
-                dispatcher: (self.draw() * DISPATCHERS as f64) as usize,
+                dispatcher: (self.random.next_fraction() * DISPATCHERS as f64) as usize,
                 first_submitted: open.first_submitted,
                 tries: open.tries + 1,
                 running_time: open.running_time,
--- a/crates/decision/tests/random_events.rs
+++ b/crates/decision/tests/random_events.rs
@@ -106,7 +106,7 @@
     fn change_state(&mut self, choice: u8) {
         let worker = 1 + u32::from(choice) % WORKERS;
         self.draining.retain(|draining| *draining != worker);
-        let state = if choice % 2 == 0 {
+        let state = if choice.is_multiple_of(2) {
             EndpointState::Ready
         } else {
             self.draining.push(worker);
--- a/crates/decision/tests/service_rules.rs
+++ b/crates/decision/tests/service_rules.rs
@@ -1,10 +1,10 @@
-//! The four rules that a dispatcher keeps on its own.
+//! The four service rules that a dispatcher keeps on its own.
 
 mod common;
 use common::*;
 use postusher_decision::*;
 
-const ENDINGS: [AttemptResult; 7] = [
+const RESULTS: [AttemptResult; 7] = [
     AttemptResult::Error,
     AttemptResult::Overloaded,
     AttemptResult::TimedOut,
@@ -46,7 +46,7 @@
 
 #[test]
 fn rule_2_every_attempt_result_with_every_idempotency() {
-    for result in ENDINGS {
+    for result in RESULTS {
         for class in 0..4 {
             let mut host = TestHost::new(settings(), 4);
             let first = host.submit(1, class, 1).unwrap();
--- a/crates/decision/tests/tokens.rs
+++ b/crates/decision/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! The bucket: longest-free first, several tokens from one worker, prompt rejection.
+//! The token bucket: longest-free tokens first, several tokens from one worker, prompt rejection.
 
 mod common;
 use common::*;
@@ -15,8 +15,8 @@
     ids.reverse();
     let released: Vec<u32> = ids.iter().map(|id| place[*id]).collect();
     ids.iter().for_each(|id| host.end_attempt(*id as u32, 0, AttemptResult::Success));
-    let seized: Vec<u32> = (20..23).map(|id| host.submit(id, 2, 1).unwrap()).collect();
-    assert_eq!(seized, released);
+    let acquired: Vec<u32> = (20..23).map(|id| host.submit(id, 2, 1).unwrap()).collect();
+    assert_eq!(acquired, released);
 }
 
 #[test]
--- a/crates/decision/tests/upgrade.rs
+++ b/crates/decision/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! Jobs that come over from another process of the same dispatcher, with the attempts made there.
+//! An upgrade: jobs and learned state that another process of the same scheduler hands over.
 
 mod common;
 use common::*;
@@ -18,25 +18,25 @@
     host.handle(Event::JobAdopted { job, attempts });
 }
 
-fn begun(worker: u32, out: bool, ran: bool) -> PriorAttempt {
-    PriorAttempt { worker: WorkerId(worker), age: 300 * MILLISECOND, pending: out, may_have_run: ran }
+fn prior_attempt(worker: u32, pending: bool, may_have_run: bool) -> PriorAttempt {
+    PriorAttempt { worker: WorkerId(worker), age: 300 * MILLISECOND, pending, may_have_run }
 }
 
 #[test]
 fn adopted_pending_attempts_hold_tokens_and_end_normally() {
     let mut host = TestHost::new(settings(), 3);
     let free = host.dispatcher.tokens(WorkerId(2)).0;
-    adopt(&mut host, 1, 0, vec![begun(2, true, true)]);
-    assert!(host.worker_of(1).is_none()); // its attempt goes on
+    adopt(&mut host, 1, 0, vec![prior_attempt(2, true, true)]);
+    assert!(host.worker_of(1).is_none()); // its attempt is pending
     assert_eq!(host.dispatcher.tokens(WorkerId(2)), (free - 1, 1));
     host.end_attempt(1, 0, AttemptResult::Success);
     assert_eq!(host.dispatcher.tokens(WorkerId(2)).1, 0);
     // A failure is followed by a further attempt, elsewhere.
-    adopt(&mut host, 2, 0, vec![begun(2, true, true)]);
+    adopt(&mut host, 2, 0, vec![prior_attempt(2, true, true)]);
     host.end_attempt(2, 0, AttemptResult::Error);
     assert!(host.worker_of(2).is_some_and(|worker| worker != 2));
     // It has the rest of its time, and then its answer.
-    adopt(&mut host, 3, 0, vec![begun(1, true, true)]);
+    adopt(&mut host, 3, 0, vec![prior_attempt(1, true, true)]);
     host.now += 5 * SECOND;
     host.actions.clear();
     host.handle(Event::TimerExpired(DEADLINE + 3));
@@ -47,13 +47,13 @@
 fn adopted_attempts_that_may_have_run_limit_retries_and_rejections() {
     // An upgrade must not make a job take effect twice.
     let mut host = TestHost::new(settings(), 6);
-    adopt(&mut host, 1, 3, vec![begun(2, false, true)]); // keyed in a cell: even workers
+    adopt(&mut host, 1, 3, vec![prior_attempt(2, false, true)]); // keyed in a cell: even workers
     assert!(host.worker_of(1).is_some_and(|worker| worker % 2 == 0 && worker != 2));
-    adopt(&mut host, 2, 2, vec![begun(2, false, true)]); // never twice: neither sent nor rejected
+    adopt(&mut host, 2, 2, vec![prior_attempt(2, false, true)]); // never twice: neither sent nor rejected
     assert!(host.worker_of(2).is_none() && host.failed(2) && !host.rejected(2));
-    adopt(&mut host, 3, 2, vec![begun(2, false, false)]);
+    adopt(&mut host, 3, 2, vec![prior_attempt(2, false, false)]);
     assert!(host.worker_of(3).is_some_and(|worker| worker != 2));
-    adopt(&mut host, 4, 2, vec![begun(9, true, true)]); // at a worker that no list has named
+    adopt(&mut host, 4, 2, vec![prior_attempt(9, true, true)]); // at a worker that no list has named
     assert!(host.worker_of(4).is_none() && !host.failed(4));
     host.end_attempt(4, 0, AttemptResult::Reset);
     assert!(host.failed(4));
@@ -64,19 +64,19 @@
     // After an upgrade jobs must not go to workers that were known to fail.
     let mut old = TestHost::new(settings(), 6);
     old.fail_until_ejected(2);
-    let memory = old.dispatcher.learned_state();
+    let learned = old.dispatcher.learned_state();
     let mut new = TestHost::new(settings(), 6);
     new.now = old.now;
-    new.handle(Event::Learned(memory.clone()));
+    new.handle(Event::Learned(learned.clone()));
     assert!(new.dispatcher.is_ejected(WorkerId(2)) && new.dispatcher.tokens(WorkerId(2)).0 == 0);
     assert_eq!(new.dispatcher.tokens(WorkerId(1)), old.dispatcher.tokens(WorkerId(1)));
-    assert_eq!(new.dispatcher.learned_state(), memory);
-    // It gets its trial as it would have got it there.
+    assert_eq!(new.dispatcher.learned_state(), learned);
+    // It becomes half-open as it would have there.
     new.now += 60 * SECOND;
     new.handle(Event::TimerExpired(0));
     assert!(!new.dispatcher.is_ejected(WorkerId(2)));
     // Of a worker that no list has named nothing is kept.
-    let strange = LearnedState { workers: vec![(WorkerId(99), WorkerHistory::default())], ..memory };
+    let strange = LearnedState { workers: vec![(WorkerId(99), WorkerHistory::default())], ..learned };
     new.handle(Event::Learned(strange));
     assert_eq!(new.dispatcher.known_workers(), 6);
 }
