--- a/crates/decision/src/policy/attempts.rs
+++ b/crates/decision/src/policy/attempts.rs
@@ -39,7 +39,7 @@
         self.tokens.acquire(worker_id, job.slots);
         worker.add_attempt(id, attempt_id, job.slots);
         worker.idle_connections.pop();
-        worker.slow_start.balance -= work;
+        worker.slow_start.spend(work);
     }
 
     /// Where workers notify starts and attempts can be cancelled, sets the time by which a job should have
--- a/crates/decision/src/policy/capacity.rs
+++ b/crates/decision/src/policy/capacity.rs
@@ -49,9 +49,9 @@
     /// Slots of a worker that other schedulers use: by its latest report and, as that ages, by its mean, then
     /// by what is typical for its place.
     fn foreign_slots(&self, worker: &Worker) -> f64 {
-        let age = worker.load.reported_at.map_or(f64::MAX, |reported_at| (self.now - reported_at) as f64);
+        let age = worker.load.age(self.now).map_or(f64::MAX, |age| age as f64);
         let typical = self.foreign_load.typical(&worker.endpoint) + self.estimated_queue_length();
-        let own_mean = worker.load.mean_foreign_slots.value_or(typical);
+        let own_mean = worker.load.mean_foreign_slots().unwrap_or(typical);
         let mean = typical + (own_mean - typical) * (-age / FOREIGN_LOAD_SPAN_US).exp();
         let lifetime = REPORT_LIFETIME_RUNS * self.durations.fleet.value_or(1.0);
         mean + (worker.load.foreign_slots - mean) * (1.0 - age / lifetime).max(0.0).powi(4)
@@ -77,7 +77,7 @@
     /// Whether a worker reported so lately that most of what ran there still does.
     pub(super) fn has_fresh_report(&self, worker: &Worker) -> bool {
         let limit = self.durations.fleet.value_or(TICK_US as f64) * FRESH_REPORT_SHARE;
-        worker.load.reported_at.is_some_and(|reported_at| (self.now - reported_at) as f64 <= limit)
+        worker.load.age(self.now).is_some_and(|age| age as f64 <= limit)
     }
 
     /// How fast a worker's machine kind runs, relative to the usual one: tokens are given out in this
--- a/crates/decision/src/policy/circuit_breaker.rs
+++ b/crates/decision/src/policy/circuit_breaker.rs
@@ -1,7 +1,7 @@
 //! Circuit breakers: a class stays away from a worker that rejects it for want of capacity.
 
 use super::capacity::DEFAULT_TOKENS;
-use super::outlier_detection::{BASE_EJECTION_TIME_US, MAX_EJECTION_DOUBLINGS};
+use super::outlier_detection::BASE_EJECTION_TIME_US;
 use crate::interface::{AttemptResult, WorkerId};
 use crate::Dispatcher;
 
@@ -34,12 +34,9 @@
         if let Some(worker) = self.workers.get_mut(id) {
             let breaker = worker.breaker_mut(class);
             if rejected {
-                let doublings = breaker.consecutive_rejections.min(MAX_EJECTION_DOUBLINGS);
-                breaker.open_until = self.now + (BASE_EJECTION_TIME_US << doublings);
-                breaker.consecutive_rejections += 1;
+                breaker.record_rejection(self.now, BASE_EJECTION_TIME_US);
             } else {
-                breaker.open_until = 0;
-                breaker.consecutive_rejections = 0;
+                breaker.record_success();
             }
         }
         if rejected && !reports_free_slots {
@@ -51,7 +48,6 @@
     pub(super) fn assume_no_free_slot(&mut self, id: WorkerId, queued: i64) {
         let Some(worker) = self.workers.get_mut(id) else { return };
         let occupied = (self.slots.slot_count(worker) - worker.held_tokens + queued) as f64;
-        worker.load.foreign_slots = worker.load.foreign_slots.max(occupied);
-        worker.load.reported_at = Some(self.now.max(1));
+        worker.load.assume_at_least(occupied, self.now);
     }
 }
--- a/crates/decision/src/policy/fleet.rs
+++ b/crates/decision/src/policy/fleet.rs
@@ -47,7 +47,7 @@
         let id = endpoint.worker;
         self.tokens.clear(id);
         let balance = self.random.next_fraction() * self.durations.mean_running_time();
-        let slow_start = SlowStartBudget { balance, updated_at: self.now };
+        let slow_start = SlowStartBudget::new(balance, self.now);
         let mut worker = Worker::new(endpoint, slow_start, enabled_at);
         if let Some(before) = self.workers.get_mut(id) {
             worker.held_tokens = before.held_tokens;
--- a/crates/decision/src/policy/handover.rs
+++ b/crates/decision/src/policy/handover.rs
@@ -29,7 +29,7 @@
         WorkerHistory {
             max_free_slots: worker.load.max_free_slots,
             foreign_slots: worker.load.foreign_slots,
-            report_age: worker.load.reported_at.map(|reported_at| self.now.saturating_sub(reported_at)),
+            report_age: worker.load.age(self.now),
             health_score: health.score,
             ejected_for: health.ejected_until.map_or(0, |until| until.saturating_sub(self.now).max(1)),
             consecutive_ejections: health.consecutive_ejections,
--- a/crates/decision/src/policy/load_reports.rs
+++ b/crates/decision/src/policy/load_reports.rs
@@ -52,11 +52,7 @@
         let Some(worker) = self.workers.get_mut(id) else { return };
         let slot_count = self.slots.record_free_slots(worker, free);
         let foreign = (slot_count as f64 - free + queue).max(slots_of_jobs) - own_slots as f64;
-        let elapsed = (self.now - worker.load.reported_at.unwrap_or(0)) as f64;
-        let load = &mut worker.load;
-        load.foreign_slots += (foreign.max(0.0) - load.foreign_slots) * (1.0 - (-elapsed / span).exp());
-        load.mean_foreign_slots.add(foreign.max(0.0), 1.0 - (-elapsed / FOREIGN_LOAD_SPAN_US).exp());
-        load.reported_at = Some(self.now.max(1));
+        worker.load.record(foreign.max(0.0), self.now, span, FOREIGN_LOAD_SPAN_US);
         self.slots.record_slot_count(slot_count);
         // With attempts alone the fleet would seem full, as most reports come from where most jobs go.
         if source == ReportSource::HealthCheck || !self.features.probes_load {
@@ -110,8 +106,8 @@
         let accepting = self.workers.accepting();
         let mut means = Vec::new();
         for worker in accepting.iter().filter_map(|id| self.workers.get(*id)) {
-            if worker.load.is_younger_than(within, self.now) {
-                means.extend(worker.load.mean_foreign_slots.value());
+            if worker.load.age(self.now).is_some_and(|age| age < within) {
+                means.extend(worker.load.mean_foreign_slots());
             }
         }
         if 4 * means.len() <= 3 * accepting.len() {
--- a/crates/decision/src/policy/outlier_detection.rs
+++ b/crates/decision/src/policy/outlier_detection.rs
@@ -16,7 +16,7 @@
 /// The time for which a worker is ejected at first; each ejection without success in between doubles it.
 pub(super) const BASE_EJECTION_TIME_US: Micros = 500_000;
 /// Doublings of the ejection time, at most.
-pub(super) const MAX_EJECTION_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 impl Dispatcher {
     /// Adds the score of an outcome to a worker's health: one estimate for slow, silent and failing workers
--- a/crates/decision/src/policy/placement.rs
+++ b/crates/decision/src/policy/placement.rs
@@ -224,12 +224,12 @@
         let is_uncertain = wait > 0 || !self.has_fresh_report(worker);
         let is_often_rejected =
             self.durations.rejection_rate(job.job.class).is_some_and(|rate| rate > OFTEN_REJECTED_SHARE);
-        let was_served = worker.breaker(job.job.class).is_some_and(|b| b.consecutive_rejections == 0);
+        let was_served = worker.breaker(job.job.class).is_some_and(|breaker| breaker.was_served_last());
         wait + i64::from(is_uncertain) + i64::from(is_often_rejected && !was_served)
     }
 
     fn is_breaker_open(&self, job: &PendingJob, worker: &Worker) -> bool {
-        worker.breaker(job.job.class).is_some_and(|breaker| breaker.open_until > self.now)
+        worker.breaker(job.job.class).is_some_and(|breaker| breaker.is_open(self.now))
     }
 
     /// What an attempt costs besides its work, in millionths: a new connection, another zone, a fetch.
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -1,14 +1,12 @@
 //! Slow start: a worker's capacity grows after its start, and all schedulers share what it can take until
 //! then.
 
-use crate::state::{PendingJob, SlowStartBudget, Worker};
+use crate::state::{Allowance, PendingJob, SlowStartBudget, Worker};
 use crate::Dispatcher;
 
 /// Margin of the work that all schedulers send to a worker in slow start, in standard deviations of a random
 /// number of mean jobs.
 const OVERLOAD_MARGIN: f64 = 1.0;
-/// Part of an allowance below one mean job that may be saved up beyond that job.
-const SMALL_ALLOWANCE_SAVINGS: f64 = 0.25;
 
 impl Dispatcher {
     /// The share of its capacity that a worker has at least, by the time since it started or was enabled; 1
@@ -40,26 +38,20 @@
         mean_job * ((OVERLOAD_MARGIN * OVERLOAD_MARGIN + limit / mean_job).sqrt() - OVERLOAD_MARGIN).powi(2)
     }
 
-    /// The slow-start budget of a worker at the present time. Each scheduler earns its part of the shared
-    /// allowance, from a random start. It may save the work of a mean job and some more; then savings lapse,
-    /// or all schedulers would save them up and spend them together.
+    /// The slow-start budget of a worker at the present time: each scheduler earns its part of the shared
+    /// allowance.
     pub(super) fn slow_start_budget(&self, worker: &Worker) -> SlowStartBudget {
-        let mean_job = self.durations.mean_running_time();
-        let allowance = self.shared_allowance(worker) / self.scheduler_count;
-        let elapsed = (self.now - worker.slow_start.updated_at) as f64;
-        let window = self.settings.overload_window.max(1) as f64;
-        let balance = worker.slow_start.balance + allowance * elapsed / window;
-        let savings = if allowance < mean_job { allowance * SMALL_ALLOWANCE_SAVINGS } else { allowance };
-        let maximum = mean_job + savings;
-        let after_lapse = (allowance - mean_job).max(0.0);
-        let lapse = maximum - after_lapse;
-        let lapses = ((balance - maximum) / lapse).ceil().max(0.0);
-        SlowStartBudget { balance: balance - lapses * lapse, updated_at: self.now }
+        let allowance = Allowance {
+            work: self.shared_allowance(worker) / self.scheduler_count,
+            window: self.settings.overload_window,
+            mean_job: self.durations.mean_running_time(),
+        };
+        worker.slow_start.at(self.now, allowance)
     }
 
     /// Whether a worker in slow start can take a job at all, and its budget allows another one now.
     pub(super) fn slow_start_allows(&self, job: &PendingJob, worker: &Worker) -> bool {
-        self.slow_start_budget(worker).balance >= self.durations.mean_running_time()
+        self.slow_start_budget(worker).balance() >= self.durations.mean_running_time()
             && self.durations.work(job) <= self.shared_allowance(worker)
     }
 }
--- a/crates/decision/src/state/worker.rs
+++ b/crates/decision/src/state/worker.rs
@@ -1,29 +1,8 @@
 //! A worker as a dispatcher knows it.
 
-use super::WorkerHealth;
-use crate::estimators::MovingAverage;
+use super::{CircuitBreaker, ReportedLoad, SlowStartBudget, WorkerHealth};
 use crate::interface::{AttemptId, Endpoint, EndpointState, JobId, Micros};
 
-/// What a worker's load reports have shown.
-#[derive(Default)]
-pub struct ReportedLoad {
-    /// Most free slots ever reported.
-    pub max_free_slots: i64,
-    /// Slots that other schedulers used at the latest report, smoothed.
-    pub foreign_slots: f64,
-    /// The same, averaged over a longer time.
-    pub mean_foreign_slots: MovingAverage,
-    /// When the latest report came.
-    pub reported_at: Option<Micros>,
-}
-
-impl ReportedLoad {
-    /// Whether there was a report less than `age` ago.
-    pub fn is_younger_than(&self, age: Micros, now: Micros) -> bool {
-        self.reported_at.is_some_and(|reported_at| now - reported_at < age)
-    }
-}
-
 /// A health check of a worker.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum HealthCheck {
@@ -36,25 +15,6 @@
     PendingFor(JobId),
 }
 
-/// The work that this scheduler may send to a worker in slow start.
-#[derive(Clone, Copy)]
-pub struct SlowStartBudget {
-    /// The balance in slot-microseconds.
-    pub balance: f64,
-    /// As of when.
-    pub updated_at: Micros,
-}
-
-/// A class at a worker that may have rejected it for want of capacity.
-pub struct CircuitBreaker {
-    /// The class.
-    pub class: u16,
-    /// The class stays away until then; 0: it was served last.
-    pub open_until: Micros,
-    /// Rejections on end.
-    pub consecutive_rejections: u32,
-}
-
 /// A worker as this dispatcher knows it.
 pub struct Worker {
     /// Its entry in the endpoint list.
@@ -98,15 +58,15 @@
 
     /// The circuit breaker of a class, if it was served or rejected here.
     pub fn breaker(&self, class: u16) -> Option<&CircuitBreaker> {
-        self.breakers.iter().find(|breaker| breaker.class == class)
+        self.breakers.iter().find(|breaker| breaker.class() == class)
     }
 
     /// The circuit breaker of a class, closed if it is new.
     pub fn breaker_mut(&mut self, class: u16) -> &mut CircuitBreaker {
-        let known = self.breakers.iter().position(|breaker| breaker.class == class);
+        let known = self.breakers.iter().position(|breaker| breaker.class() == class);
         let index = known.unwrap_or(self.breakers.len());
         if known.is_none() {
-            self.breakers.push(CircuitBreaker { class, open_until: 0, consecutive_rejections: 0 });
+            self.breakers.push(CircuitBreaker::new(class));
         }
         &mut self.breakers[index]
     }
