--- a/crates/decision/src/policy/capacity.rs
+++ b/crates/decision/src/policy/capacity.rs
@@ -22,14 +22,14 @@
             return 0;
         }
         if self.is_in_slow_start(worker) || worker.health.is_half_open() {
-            let one_job = if worker.held_tokens == 0 { self.slots.largest_job } else { 0 };
+            let one_job = if worker.held_tokens == 0 { self.slots.largest_job() } else { 0 };
             return self.own_slots(worker).max(one_job);
         }
-        if self.slots.mean_per_worker.value().is_none() {
-            return DEFAULT_TOKENS + self.slots.largest_job;
+        if self.slots.mean_per_worker().value().is_none() {
+            return DEFAULT_TOKENS + self.slots.largest_job();
         }
         let tokens = (TOKENS_PER_SLOT * self.slots.slot_count(worker) as f64 * self.speed(worker)).round();
-        tokens.max(self.slots.largest_job as f64) as i64
+        tokens.max(self.slots.largest_job() as f64) as i64
     }
 
     /// Slots of a worker that other schedulers leave to this one.
@@ -40,7 +40,7 @@
             return (slot_count as f64 * share) as i64;
         }
         let foreign_slots = (self.foreign_slots(worker) + 0.5) as i64;
-        match self.slots.mean_per_worker.value() {
+        match self.slots.mean_per_worker().value() {
             Some(_) => slot_count - foreign_slots,
             None => DEFAULT_TOKENS - foreign_slots,
         }
@@ -53,7 +53,7 @@
         let typical = self.foreign_load.typical(&worker.endpoint) + self.estimated_queue_length();
         let own_mean = worker.load.mean_foreign_slots().unwrap_or(typical);
         let mean = typical + (own_mean - typical) * (-age / FOREIGN_LOAD_SPAN_US).exp();
-        let lifetime = REPORT_LIFETIME_RUNS * self.durations.fleet.value_or(1.0);
+        let lifetime = REPORT_LIFETIME_RUNS * self.durations.fleet_mean().value_or(1.0);
         mean + (worker.load.foreign_slots - mean) * (1.0 - age / lifetime).max(0.0).powi(4)
     }
 
@@ -70,13 +70,14 @@
         if !self.features.infers_queue_from_starts {
             return 0.0;
         }
-        let delay = self.queueing.delay_us;
-        delay * self.slots.mean_per_worker.value_or(1.0) / self.durations.fleet.value_or(delay.max(1.0))
+        let delay = self.queueing.delay_us();
+        delay * self.slots.mean_per_worker().value_or(1.0)
+            / self.durations.fleet_mean().value_or(delay.max(1.0))
     }
 
     /// Whether a worker reported so lately that most of what ran there still does.
     pub(super) fn has_fresh_report(&self, worker: &Worker) -> bool {
-        let limit = self.durations.fleet.value_or(TICK_US as f64) * FRESH_REPORT_SHARE;
+        let limit = self.durations.fleet_mean().value_or(TICK_US as f64) * FRESH_REPORT_SHARE;
         worker.load.age(self.now).is_some_and(|age| age as f64 <= limit)
     }
 
--- a/crates/decision/src/policy/handover.rs
+++ b/crates/decision/src/policy/handover.rs
@@ -1,8 +1,8 @@
 //! What one process of a scheduler has learned, for the next one.
 
-use crate::estimators::{MedianWindow, MovingAverage, QuantileEstimate};
-use crate::interface::{ClassEstimates, LearnedState, WorkerHistory, WorkerId};
-use crate::state::{ClassEstimate, Worker};
+use crate::estimators::MedianWindow;
+use crate::interface::{LearnedState, WorkerHistory, WorkerId};
+use crate::state::Worker;
 use crate::Dispatcher;
 
 impl Dispatcher {
@@ -11,14 +11,14 @@
         let mut workers: Vec<(WorkerId, WorkerHistory)> =
             self.workers.iter().map(|worker| (worker.endpoint.worker, self.history_of(worker))).collect();
         workers.sort_unstable_by_key(|(id, _)| *id);
-        let mut fleet_means = vec![self.durations.fleet.value(), self.slots.mean_per_worker.value()];
-        fleet_means.extend(self.queueing.time_to_start.iter().map(|estimate| estimate.value()));
+        let mut fleet_means = vec![self.durations.fleet_mean().value(), self.slots.mean_per_worker().value()];
+        fleet_means.extend(self.queueing.times_to_start());
         LearnedState {
             fleet_means,
-            queueing_delay: self.queueing.delay_us,
+            queueing_delay: self.queueing.delay_us(),
             recent_scores: self.recent_scores.samples(),
-            classes: self.durations.classes.iter().map(exported_class).collect(),
-            kinds: self.durations.kinds.iter().map(|(kind, mean)| (*kind, mean.value())).collect(),
+            classes: self.durations.class_estimates(),
+            kinds: self.durations.kind_estimates(),
             quota_balances: self.quotas.iter().map(|quota| quota.balance()).collect(),
             workers,
         }
@@ -38,14 +38,14 @@
 
     /// Continues from what another process has learned; nothing is kept of workers that are not known here.
     pub(super) fn restore_learned_state(&mut self, learned: &LearnedState) {
-        self.restore_fleet_means(&learned.fleet_means);
-        self.queueing.delay_us = learned.queueing_delay;
+        // The means over the fleet are in the order of `learned_state`.
+        let mut fleet_means = learned.fleet_means.iter().copied();
+        self.durations.restore_fleet_mean(fleet_means.next().flatten());
+        self.slots.restore_mean_per_worker(fleet_means.next().flatten());
+        self.queueing.restore(learned.queueing_delay, fleet_means);
+        self.durations.restore_classes(&learned.classes);
+        self.durations.restore_kinds(&learned.kinds);
         self.recent_scores = MedianWindow::new(&learned.recent_scores);
-        for (class, learned) in self.durations.classes.iter_mut().zip(&learned.classes) {
-            *class = imported_class(learned);
-        }
-        let kinds = learned.kinds.iter().map(|(kind, mean)| (*kind, MovingAverage::new(*mean)));
-        self.durations.kinds = kinds.collect();
         for (quota, balance) in self.quotas.iter_mut().zip(&learned.quota_balances) {
             quota.restore(*balance, self.now);
         }
@@ -57,23 +57,6 @@
         }
     }
 
-    /// Restores the means over the fleet, in the order of [`Dispatcher::learned_state`]; those without a
-    /// value stay.
-    fn restore_fleet_means(&mut self, means: &[Option<f64>]) {
-        let mut means = means.iter().copied();
-        if let Some(Some(mean)) = means.next() {
-            self.durations.fleet = MovingAverage::new(Some(mean));
-        }
-        if let Some(Some(mean)) = means.next() {
-            self.slots.mean_per_worker = MovingAverage::new(Some(mean));
-        }
-        for (estimate, learned) in self.queueing.time_to_start.iter_mut().zip(means) {
-            if learned.is_some() {
-                *estimate = QuantileEstimate::new(learned);
-            }
-        }
-    }
-
     fn restore_history(&mut self, id: WorkerId, history: &WorkerHistory) {
         let now = self.now;
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -85,19 +68,3 @@
         worker.health.ejected_until = (history.ejected_for > 0).then(|| now + history.ejected_for);
     }
 }
-
-fn exported_class(class: &ClassEstimate) -> ClassEstimates {
-    ClassEstimates {
-        log_duration: class.log_duration.value(),
-        mean_duration: class.mean_duration.value(),
-        rejection_rate: class.rejection_rate,
-    }
-}
-
-fn imported_class(class: &ClassEstimates) -> ClassEstimate {
-    ClassEstimate {
-        log_duration: MovingAverage::new(class.log_duration),
-        mean_duration: MovingAverage::new(class.mean_duration),
-        rejection_rate: class.rejection_rate,
-    }
-}
--- a/crates/decision/src/policy/load_probes.rs
+++ b/crates/decision/src/policy/load_probes.rs
@@ -27,7 +27,7 @@
     /// Whether jobs wait for load probes: only health checks bring load reports, and most reports are too
     /// old.
     pub(super) fn needs_load_probes(&self) -> bool {
-        self.features.probes_before_placement && !self.foreign_load.reports_are_current
+        self.features.probes_before_placement && !self.foreign_load.reports_are_current()
     }
 
     /// Sends load probes for a job if no worker is known to have room for it; returns whether the job waits
@@ -98,7 +98,7 @@
         if self.needs_load_probes() {
             return; // the probes are kept for jobs
         }
-        let at_random = self.foreign_load.median.is_none();
+        let at_random = !self.foreign_load.has_median();
         let mut known = 0;
         for index in 0..self.workers.accepting().len().min(CANDIDATES) {
             let draw = self.draw_worker(&[]);
--- a/crates/decision/src/policy/load_reports.rs
+++ b/crates/decision/src/policy/load_reports.rs
@@ -46,7 +46,7 @@
         let queue = self.reported_queue(free, report);
         // A wide job at the head of the queue keeps slots free that others wait for, so the jobs count, too.
         let jobs = self.settings.report_value(ReportField::Jobs, report).unwrap_or(0.0);
-        let slots_of_jobs = jobs * self.slots.mean_per_job.value_or(1.0);
+        let slots_of_jobs = jobs * self.slots.mean_per_job().value_or(1.0);
         let own_slots = self.own_slots_in_report(id);
         let span = self.smoothing_span_us();
         let Some(worker) = self.workers.get_mut(id) else { return };
@@ -57,7 +57,7 @@
         // With attempts alone the fleet would seem full, as most reports come from where most jobs go.
         if source == ReportSource::HealthCheck || !self.features.probes_load {
             let foreign = foreign.clamp(0.0, MAX_JOBS_PER_SLOT * slot_count as f64);
-            self.foreign_load.by_location.add(&worker.endpoint, foreign, LOCATION_WEIGHT);
+            self.foreign_load.record(&worker.endpoint, foreign, LOCATION_WEIGHT);
         }
         self.workers.set_latest_report(id, CANDIDATES);
     }
@@ -94,8 +94,8 @@
     /// At each tick, finds anew what other schedulers typically use and whether the known reports are recent
     /// enough.
     pub(super) fn update_foreign_load(&mut self) {
-        self.foreign_load.median = self.median_foreign_slots(3 * FOREIGN_LOAD_SPAN_US as Micros);
-        self.foreign_load.reports_are_current = self.reports_are_current();
+        let median = self.median_foreign_slots(3 * FOREIGN_LOAD_SPAN_US as Micros);
+        self.foreign_load.update(median, self.reports_are_current());
     }
 
     /// The median of the slots that other schedulers use, over the workers that reported within this time,
@@ -123,7 +123,7 @@
         let lifetime = if self.features.reports_queue {
             3.0 * FOREIGN_LOAD_SPAN_US
         } else {
-            REPORT_LIFETIME_RUNS * self.durations.fleet.value_or(TICK_US as f64)
+            REPORT_LIFETIME_RUNS * self.durations.fleet_mean().value_or(TICK_US as f64)
         };
         self.median_foreign_slots(lifetime as Micros).is_some()
     }
--- a/crates/decision/src/policy/quotas.rs
+++ b/crates/decision/src/policy/quotas.rs
@@ -59,7 +59,8 @@
     /// quota.
     pub(super) fn affordable_queue_slots(&self, job: &PendingJob, standing: f64) -> i64 {
         let slack = QUEUEING_SLACK_SHARE * self.latency_slack(job, 1.0);
-        let slots = slack * self.slots.mean_per_worker.value_or(1.0) / self.durations.fleet.value_or(1.0);
+        let slots =
+            slack * self.slots.mean_per_worker().value_or(1.0) / self.durations.fleet_mean().value_or(1.0);
         let slots = (slots / self.unseen_queue_divisor()).min(DEFAULT_TOKENS as f64);
         (slots + standing * (slots + RESERVED_SLOTS)).floor() as i64
     }
--- a/crates/decision/src/state/durations.rs
+++ b/crates/decision/src/state/durations.rs
@@ -2,7 +2,7 @@
 
 use super::PendingJob;
 use crate::estimators::{MovingAverage, SLOW_WEIGHT};
-use crate::interface::Micros;
+use crate::interface::{ClassEstimates, Micros};
 use std::collections::BTreeMap;
 
 /// The mean running time while none was observed, in microseconds.
@@ -12,24 +12,24 @@
 
 /// What was observed of a class.
 #[derive(Clone, Copy, Default)]
-pub struct ClassEstimate {
+struct ClassEstimate {
     /// Mean logarithm of the running time in microseconds, relative to the size hint where there is one.
-    pub log_duration: MovingAverage,
+    log_duration: MovingAverage,
     /// Mean running time in microseconds.
-    pub mean_duration: MovingAverage,
+    mean_duration: MovingAverage,
     /// Share of attempts that were rejected for want of capacity, from 0 to 1.
-    pub rejection_rate: f64,
+    rejection_rate: f64,
 }
 
 /// Running times by class and machine kind, and over the fleet.
 #[derive(Default)]
 pub struct DurationEstimates {
     /// Mean running time over all classes in microseconds.
-    pub fleet: MovingAverage,
+    fleet: MovingAverage,
     /// Estimates by class number.
-    pub classes: Vec<ClassEstimate>,
+    classes: Vec<ClassEstimate>,
     /// By machine kind: mean logarithm of the running time relative to the class's.
-    pub kinds: BTreeMap<u16, MovingAverage>,
+    kinds: BTreeMap<u16, MovingAverage>,
 }
 
 impl DurationEstimates {
@@ -38,6 +38,11 @@
         DurationEstimates { classes: vec![ClassEstimate::default(); classes], ..DurationEstimates::default() }
     }
 
+    /// Mean running time over all classes in microseconds; without a value while none was observed.
+    pub fn fleet_mean(&self) -> MovingAverage {
+        self.fleet
+    }
+
     /// Mean running time in microseconds, with a default while none was observed.
     pub fn mean_running_time(&self) -> f64 {
         self.fleet.value_or(DEFAULT_RUNNING_TIME_US)
@@ -87,6 +92,45 @@
         class.mean_duration.add(running_time as f64, SLOW_WEIGHT);
     }
 
+    /// Continues from the mean running time of another process, if it has one.
+    pub fn restore_fleet_mean(&mut self, mean: Option<f64>) {
+        if mean.is_some() {
+            self.fleet = MovingAverage::new(mean);
+        }
+    }
+
+    /// The estimates of all classes, for another process.
+    pub fn class_estimates(&self) -> Vec<ClassEstimates> {
+        let exported = |class: &ClassEstimate| ClassEstimates {
+            log_duration: class.log_duration.value(),
+            mean_duration: class.mean_duration.value(),
+            rejection_rate: class.rejection_rate,
+        };
+        self.classes.iter().map(exported).collect()
+    }
+
+    /// Continues from the estimates of another process; classes that it lacks stay as they are.
+    pub fn restore_classes(&mut self, learned: &[ClassEstimates]) {
+        for (class, learned) in self.classes.iter_mut().zip(learned) {
+            *class = ClassEstimate {
+                log_duration: MovingAverage::new(learned.log_duration),
+                mean_duration: MovingAverage::new(learned.mean_duration),
+                rejection_rate: learned.rejection_rate,
+            };
+        }
+    }
+
+    /// By machine kind: mean logarithm of the running time relative to the class's, for another process.
+    pub fn kind_estimates(&self) -> Vec<(u16, Option<f64>)> {
+        self.kinds.iter().map(|(kind, mean)| (*kind, mean.value())).collect()
+    }
+
+    /// Replaces the estimates by machine kind by those of another process.
+    pub fn restore_kinds(&mut self, learned: &[(u16, Option<f64>)]) {
+        let kinds = learned.iter().map(|(kind, mean)| (*kind, MovingAverage::new(*mean)));
+        self.kinds = kinds.collect();
+    }
+
     /// Counts an attempt of a class that was served, or rejected for want of capacity.
     pub fn record_rejection(&mut self, class: u16, rejected: bool) {
         if let Some(class) = self.classes.get_mut(usize::from(class)) {
--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -21,7 +21,7 @@
 pub use affinity::Affinity;
 pub use attempt::{Attempt, AttemptState, Route};
 pub use circuit_breaker::CircuitBreaker;
-pub use durations::{ClassEstimate, DurationEstimates};
+pub use durations::DurationEstimates;
 pub use features::Features;
 pub use foreign_load::ForeignLoadEstimates;
 pub use key_queues::KeyQueues;
--- a/crates/decision/src/state/queueing.rs
+++ b/crates/decision/src/state/queueing.rs
@@ -15,9 +15,9 @@
 #[derive(Default)]
 pub struct QueueingEstimates {
     /// Usual time to a start without a queue in microseconds, by [`Route::index`].
-    pub time_to_start: [QuantileEstimate; Route::COUNT],
+    time_to_start: [QuantileEstimate; Route::COUNT],
     /// Mean queueing delay in microseconds.
-    pub delay_us: f64,
+    delay_us: f64,
 }
 
 impl QueueingEstimates {
@@ -26,6 +26,26 @@
         self.time_to_start[route.index()].value_or(0.0)
     }
 
+    /// Mean queueing delay in microseconds.
+    pub fn delay_us(&self) -> f64 {
+        self.delay_us
+    }
+
+    /// The usual times to a start without a queue in microseconds, by [`Route::index`], for another process.
+    pub fn times_to_start(&self) -> impl Iterator<Item = Option<f64>> + '_ {
+        self.time_to_start.iter().map(QuantileEstimate::value)
+    }
+
+    /// Continues from the estimates of another process; times to a start that it lacks stay as they are.
+    pub fn restore(&mut self, delay_us: f64, times_to_start: impl Iterator<Item = Option<f64>>) {
+        self.delay_us = delay_us;
+        for (estimate, learned) in self.time_to_start.iter_mut().zip(times_to_start) {
+            if learned.is_some() {
+                *estimate = QuantileEstimate::new(learned);
+            }
+        }
+    }
+
     /// Adds the time after which an attempt started, in microseconds.
     pub fn record_start(&mut self, route: Route, elapsed_us: f64) {
         self.record_wait(route, elapsed_us);
--- a/crates/decision/src/state/slots.rs
+++ b/crates/decision/src/state/slots.rs
@@ -10,11 +10,11 @@
 /// Slots of workers, by load reports, and of jobs.
 pub struct SlotEstimates {
     /// Mean slots of a worker, over all reports.
-    pub mean_per_worker: MovingAverage,
+    mean_per_worker: MovingAverage,
     /// Mean slots of a job.
-    pub mean_per_job: MovingAverage,
+    mean_per_job: MovingAverage,
     /// Most slots that a job needed, at most the tokens of an unknown worker.
-    pub largest_job: i64,
+    largest_job: i64,
     /// By machine kind: most free slots reported, smoothed.
     largest_free: BTreeMap<u16, f64>,
 }
@@ -31,6 +31,28 @@
 }
 
 impl SlotEstimates {
+    /// Mean slots of a worker, over all reports.
+    pub fn mean_per_worker(&self) -> MovingAverage {
+        self.mean_per_worker
+    }
+
+    /// Mean slots of a job.
+    pub fn mean_per_job(&self) -> MovingAverage {
+        self.mean_per_job
+    }
+
+    /// Most slots that a job needed, up to the limit of [`SlotEstimates::record_job`]; at least 1.
+    pub fn largest_job(&self) -> i64 {
+        self.largest_job
+    }
+
+    /// Continues from the mean slots of a worker of another process, if it has one.
+    pub fn restore_mean_per_worker(&mut self, mean: Option<f64>) {
+        if mean.is_some() {
+            self.mean_per_worker = MovingAverage::new(mean);
+        }
+    }
+
     /// The slot count of a worker, as far as reports have shown it.
     pub fn slot_count(&self, worker: &Worker) -> i64 {
         let own = if worker.load.reported_at.is_some() {
@@ -42,7 +64,7 @@
         own.max(self.largest_job).max(of_kind)
     }
 
-    /// Adds the slots that a job needs.
+    /// Adds the slots that a job needs; more than `maximum` count in the mean only.
     pub fn record_job(&mut self, slots: i64, maximum: i64) {
         self.largest_job = self.largest_job.max(slots.min(maximum));
         self.mean_per_job.add(slots as f64, SLOW_WEIGHT);
