--- a/crates/decision/src/state/mod.rs
+++ b/crates/decision/src/state/mod.rs
@@ -34,3 +34,6 @@
 pub use worker::{HealthCheck, Worker};
 pub use worker_health::WorkerHealth;
 pub use worker_table::WorkerTable;
+
+#[cfg(test)]
+mod tests;
