--- a/crates/decision/src/policy/admission.rs
+++ b/crates/decision/src/policy/admission.rs
@@ -95,7 +95,7 @@
         let candidates = self.affinity.candidates(&job, estimate, self.workers.accepting().len());
         let job = PendingJob::new(job, class, candidates);
         self.slots.record_job(job.slots, DEFAULT_TOKENS);
-        if let Some(quota) = self.quotas.get_mut(usize::from(job.job.customer)) {
+        if let Some(quota) = self.quotas.get_mut(usize::from(job.submitted.customer)) {
             quota.record_arrival(self.now);
         }
         self.retry_budget.earn(RETRIES_PER_ARRIVAL, MAX_SAVED_RETRIES);
@@ -175,7 +175,7 @@
             self.wait_for_list(id, actions);
             return Vec::new();
         }
-        let standing = match self.jobs.get(&id).map(|job| job.job.customer) {
+        let standing = match self.jobs.get(&id).map(|job| job.submitted.customer) {
             Some(customer) => self.quota_standing(customer),
             None => 0.0,
         };
@@ -185,7 +185,7 @@
         let Some(job) = self.jobs.get(&id) else { return Vec::new() };
         let next = self.next_in_release_order(job, CANDIDATES);
         let max_queue_slots = self.max_queue_slots(job, standing);
-        let may_start = job.job.deadline > self.now && self.may_send(job);
+        let may_start = job.submitted.deadline > self.now && self.may_send(job);
         let chosen = if may_start { self.choose_worker(job, &next, max_queue_slots) } else { None };
         match chosen {
             Some(worker) => self.send(id, worker, actions),
@@ -198,7 +198,7 @@
     /// as all jobs have where no report tells of queues.
     fn max_queue_slots(&self, job: &PendingJob, standing: f64) -> i64 {
         let affordable = self.affordable_queue_slots(job, standing);
-        let time_left = job.job.deadline.saturating_sub(self.now) as f64;
+        let time_left = job.submitted.deadline.saturating_sub(self.now) as f64;
         let may_queue = time_left > self.durations.expected(job) && !self.needs_load_probes();
         if may_queue {
             affordable
--- a/crates/decision/src/policy/attempts.rs
+++ b/crates/decision/src/policy/attempts.rs
@@ -29,7 +29,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         let Some(worker) = self.workers.get_mut(worker_id) else { return };
         if job.attempts.is_empty() {
-            if let Some(quota) = self.quotas.get_mut(usize::from(job.job.customer)) {
+            if let Some(quota) = self.quotas.get_mut(usize::from(job.submitted.customer)) {
                 quota.charge();
             }
         }
@@ -132,7 +132,7 @@
     /// A job has reached its deadline: it gets its final answer now, whatever else goes wrong.
     pub(super) fn deadline_reached(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id) else { return };
-        if !job.answered && !job.streaming && job.job.deadline <= self.now {
+        if !job.answered && !job.streaming && job.submitted.deadline <= self.now {
             actions.push(Action::Fail { job: id });
             self.close(id, actions);
         }
--- a/crates/decision/src/policy/endpoint_list.rs
+++ b/crates/decision/src/policy/endpoint_list.rs
@@ -176,7 +176,7 @@
             return;
         }
         let limit = (QUEUEING_SLACK_SHARE * self.latency_slack(job, 1.0)) as Micros;
-        let until = job.list_wait_until.unwrap_or((self.now + limit).min(job.job.deadline));
+        let until = job.list_wait_until.unwrap_or((self.now + limit).min(job.submitted.deadline));
         if self.now >= until {
             return self.turn_away(id, actions);
         }
--- a/crates/decision/src/policy/handover.rs
+++ b/crates/decision/src/policy/handover.rs
@@ -62,6 +62,7 @@
         let Some(worker) = self.workers.get_mut(id) else { return };
         worker.load.max_free_slots = history.max_free_slots;
         worker.load.foreign_slots = history.foreign_slots;
+        // A report from before the start of this clock counts as one from just after it.
         worker.load.reported_at = history.report_age.map(|age| now.saturating_sub(age).max(1));
         worker.health.score = history.health_score;
         worker.health.consecutive_ejections = history.consecutive_ejections;
--- a/crates/decision/src/policy/load_probes.rs
+++ b/crates/decision/src/policy/load_probes.rs
@@ -148,7 +148,7 @@
         if job.affinity_candidates.is_empty() {
             return Vec::new();
         }
-        self.affinity.nearest(job.job.key, job.affinity_candidates.len() + 1)
+        self.affinity.nearest(job.submitted.key, job.affinity_candidates.len() + 1)
     }
 
     /// Draws one of the `preferred` workers or, if there are none, one of those that accept jobs, which is
--- a/crates/decision/src/policy/outcomes.rs
+++ b/crates/decision/src/policy/outcomes.rs
@@ -33,8 +33,8 @@
         let Some(ended) = self.record_end(outcome, actions) else { return };
         self.record_attempt_report(ended.worker, &outcome.report);
         let Some(job) = self.jobs.get(&outcome.job) else { return };
-        let class = job.job.class;
-        let hint = job.job.size_hint;
+        let class = job.submitted.class;
+        let hint = job.submitted.size_hint;
         let score = (ended.running_time.max(1) as f64 / self.durations.expected(job)).ln();
         let kind = self.workers.get(ended.worker).map_or(0, |worker| worker.endpoint.kind);
         self.release_attempt(outcome, &ended);
--- a/crates/decision/src/policy/placement.rs
+++ b/crates/decision/src/policy/placement.rs
@@ -61,10 +61,10 @@
         next: &[WorkerId],
         max_queue_slots: i64,
     ) -> Option<WorkerId> {
-        if let Some(override_) = self.placement_overrides.get(&job.job.id) {
+        if let Some(preferred) = self.placement_overrides.get(&job.submitted.id) {
             // An override never goes around the other rules.
-            let chosen = self.best_of(job, std::iter::once(&override_.worker), max_queue_slots);
-            if chosen.is_some() || override_.required {
+            let chosen = self.best_of(job, std::iter::once(&preferred.worker), max_queue_slots);
+            if chosen.is_some() || preferred.required {
                 return chosen;
             }
         }
@@ -136,7 +136,7 @@
     /// before, unless only the connection failed.
     fn placement_allows(&self, job: &PendingJob, worker: &Worker) -> bool {
         let endpoint = &worker.endpoint;
-        let preferred = self.placement_overrides.get(&job.job.id);
+        let preferred = self.placement_overrides.get(&job.submitted.id);
         let is_preferred = preferred.is_some_and(|preferred| preferred.worker == endpoint.worker);
         job.class.allows(endpoint.zone, endpoint.kind)
             && (is_preferred || endpoint.state != EndpointState::Reserved)
@@ -222,14 +222,16 @@
         let fetch = if job.needs_fetch_at(worker) { FETCH_QUEUEING_PENALTY_SLOTS } else { 0 };
         let wait = self.slots_to_wait_for(worker, missing_slots) + fetch;
         let is_uncertain = wait > 0 || !self.has_fresh_report(worker);
-        let is_often_rejected =
-            self.durations.rejection_rate(job.job.class).is_some_and(|rate| rate > OFTEN_REJECTED_SHARE);
-        let was_served = worker.breaker(job.job.class).is_some_and(|breaker| breaker.was_served_last());
+        let is_often_rejected = self
+            .durations
+            .rejection_rate(job.submitted.class)
+            .is_some_and(|rate| rate > OFTEN_REJECTED_SHARE);
+        let was_served = worker.breaker(job.submitted.class).is_some_and(|breaker| breaker.was_served_last());
         wait + i64::from(is_uncertain) + i64::from(is_often_rejected && !was_served)
     }
 
     fn is_breaker_open(&self, job: &PendingJob, worker: &Worker) -> bool {
-        worker.breaker(job.job.class).is_some_and(|breaker| breaker.is_open(self.now))
+        worker.breaker(job.submitted.class).is_some_and(|breaker| breaker.is_open(self.now))
     }
 
     /// What an attempt costs besides its work, in millionths: a new connection, another zone, a fetch.
--- a/crates/decision/src/state/durations.rs
+++ b/crates/decision/src/state/durations.rs
@@ -50,8 +50,8 @@
 
     /// The expected running time of a job on a standard worker in microseconds (the geometric mean).
     pub fn expected(&self, job: &PendingJob) -> f64 {
-        let hint = job.job.size_hint.map(|hint| hint.max(1) as f64);
-        let class = self.classes.get(usize::from(job.job.class));
+        let hint = job.submitted.size_hint.map(|hint| hint.max(1) as f64);
+        let class = self.classes.get(usize::from(job.submitted.class));
         match class.and_then(|class| class.log_duration.value()) {
             Some(log) => log.exp() * hint.unwrap_or(1.0),
             None => hint.unwrap_or(job.class.latency_objective.max(1) as f64),
@@ -61,9 +61,9 @@
     /// The work that a job brings to its worker, in slot-microseconds: by its size hint or else by its
     /// class's mean.
     pub fn work(&self, job: &PendingJob) -> f64 {
-        let class = self.classes.get(usize::from(job.job.class));
+        let class = self.classes.get(usize::from(job.submitted.class));
         let duration = match class.and_then(|class| class.mean_duration.value()) {
-            Some(mean) if job.job.size_hint.is_none() => mean,
+            Some(mean) if job.submitted.size_hint.is_none() => mean,
             _ => self.expected(job),
         };
         duration.max(1.0) * job.slots as f64
--- a/crates/decision/src/state/pending_job.rs
+++ b/crates/decision/src/state/pending_job.rs
@@ -33,8 +33,8 @@
 
 /// A job that is owed an answer or has pending attempts still.
 pub struct PendingJob {
-    /// The job as submitted.
-    pub job: Job,
+    /// The job as its client submitted it.
+    pub submitted: Job,
     /// Its class.
     pub class: Arc<Class>,
     /// Slots that it needs, each of which takes a token.
@@ -59,10 +59,10 @@
 
 impl PendingJob {
     /// A job that has just arrived.
-    pub fn new(job: Job, class: Arc<Class>, affinity_candidates: Vec<WorkerId>) -> Self {
-        let slots = i64::from(job.slots.clamp(1, MAX_SLOTS));
+    pub fn new(submitted: Job, class: Arc<Class>, affinity_candidates: Vec<WorkerId>) -> Self {
+        let slots = i64::from(submitted.slots.clamp(1, MAX_SLOTS));
         PendingJob {
-            job,
+            submitted,
             class,
             slots,
             attempts: Vec::new(),
@@ -114,7 +114,7 @@
 
     /// The key whose jobs keep their order, if this one's class asks for that.
     pub fn ordered_key(&self) -> Option<u64> {
-        (self.job.key != 0 && self.class.ordered_by_key).then_some(self.job.key)
+        (self.submitted.key != 0 && self.class.ordered_by_key).then_some(self.submitted.key)
     }
 
     /// The first attempt that may have run or is pending.
--- a/crates/decision/src/state/reported_load.rs
+++ b/crates/decision/src/state/reported_load.rs
@@ -23,17 +23,13 @@
         let elapsed = (now - self.reported_at.unwrap_or(0)) as f64;
         self.foreign_slots += (foreign_slots - self.foreign_slots) * (1.0 - (-elapsed / span_us).exp());
         self.mean_foreign_slots.add(foreign_slots, 1.0 - (-elapsed / mean_span_us).exp());
-        self.set_reported(now);
+        self.reported_at = Some(now);
     }
 
     /// Takes other schedulers to use at least so many slots, as if a report had shown it.
     pub fn assume_at_least(&mut self, foreign_slots: f64, now: Micros) {
         self.foreign_slots = self.foreign_slots.max(foreign_slots);
-        self.set_reported(now);
-    }
-
-    fn set_reported(&mut self, now: Micros) {
-        self.reported_at = Some(now.max(1));
+        self.reported_at = Some(now);
     }
 
     /// Slots that other schedulers use, averaged over a longer time; `None` without a report.
