--- a/crates/decision/src/policy/load_reports.rs
+++ b/crates/decision/src/policy/load_reports.rs
@@ -46,22 +46,18 @@
         let queue = self.reported_queue(free, report);
         // A wide job at the head of the queue keeps slots free that others wait for, so the jobs count, too.
         let jobs = self.settings.report_value(ReportField::Jobs, report).unwrap_or(0.0);
-        let slots_of_jobs = jobs * self.slots.mean_per_job.value_or(1.0);
+        let slots_of_jobs = jobs * self.slots.mean_per_job().value_or(1.0);
         let own_slots = self.own_slots_in_report(id);
         let span = self.smoothing_span_us();
         let Some(worker) = self.workers.get_mut(id) else { return };
         let slot_count = self.slots.record_free_slots(worker, free);
         let foreign = (slot_count as f64 - free + queue).max(slots_of_jobs) - own_slots as f64;
-        let elapsed = (self.now - worker.load.reported_at.unwrap_or(0)) as f64;
-        let load = &mut worker.load;
-        load.foreign_slots += (foreign.max(0.0) - load.foreign_slots) * (1.0 - (-elapsed / span).exp());
-        load.mean_foreign_slots.add(foreign.max(0.0), 1.0 - (-elapsed / FOREIGN_LOAD_SPAN_US).exp());
-        load.reported_at = Some(self.now.max(1));
+        worker.load.record(foreign.max(0.0), self.now, span, FOREIGN_LOAD_SPAN_US);
         self.slots.record_slot_count(slot_count);
         // With attempts alone the fleet would seem full, as most reports come from where most jobs go.
         if source == ReportSource::HealthCheck || !self.features.probes_load {
             let foreign = foreign.clamp(0.0, MAX_JOBS_PER_SLOT * slot_count as f64);
-            self.foreign_load.by_location.add(&worker.endpoint, foreign, LOCATION_WEIGHT);
+            self.foreign_load.record(&worker.endpoint, foreign, LOCATION_WEIGHT);
         }
         self.workers.set_latest_report(id, CANDIDATES);
     }
@@ -98,8 +94,8 @@
     /// At each tick, finds anew what other schedulers typically use and whether the known reports are recent
     /// enough.
     pub(super) fn update_foreign_load(&mut self) {
-        self.foreign_load.median = self.median_foreign_slots(3 * FOREIGN_LOAD_SPAN_US as Micros);
-        self.foreign_load.reports_are_current = self.reports_are_current();
+        let median = self.median_foreign_slots(3 * FOREIGN_LOAD_SPAN_US as Micros);
+        self.foreign_load.update(median, self.reports_are_current());
     }
 
     /// The median of the slots that other schedulers use, over the workers that reported within this time,
@@ -110,8 +106,8 @@
         let accepting = self.workers.accepting();
         let mut means = Vec::new();
         for worker in accepting.iter().filter_map(|id| self.workers.get(*id)) {
-            if worker.load.is_younger_than(within, self.now) {
-                means.extend(worker.load.mean_foreign_slots.value());
+            if worker.load.age(self.now).is_some_and(|age| age < within) {
+                means.extend(worker.load.mean_foreign_slots());
             }
         }
         if 4 * means.len() <= 3 * accepting.len() {
@@ -127,7 +123,7 @@
         let lifetime = if self.features.reports_queue {
             3.0 * FOREIGN_LOAD_SPAN_US
         } else {
-            REPORT_LIFETIME_RUNS * self.durations.fleet.value_or(TICK_US as f64)
+            REPORT_LIFETIME_RUNS * self.durations.fleet_mean().value_or(TICK_US as f64)
         };
         self.median_foreign_slots(lifetime as Micros).is_some()
     }
--- /dev/null
+++ b/crates/decision/tests/affinity.rs
@@ -0,0 +1,95 @@
+//! Key affinity: jobs of one key go to few workers, the same ones at all dispatchers.
+
+mod common;
+use common::*;
+use postusher_decision::*;
+
+#[test]
+fn jobs_of_one_key_go_to_the_same_few_workers_at_all_dispatchers() {
+    // Fetching the data of a job takes longer than running it.
+    let workers = |seed| {
+        let settings = Settings { fetch_cost: 0.05, report_fields: Vec::new(), ..settings_at_scale() };
+        let mut host = TestHost::with_seed(settings, seed, SECOND);
+        host.update_list(ListUpdate::Cached, (1..=200).map(endpoint).collect());
+        let mut workers = std::collections::BTreeSet::new();
+        for id in 1..=99 {
+            host.actions.clear();
+            let (job, deadline) = (JobId(id), host.now + 5 * SECOND);
+            let key = if id % 50 == 49 { 77 } else { 1_000 + u64::from(id) };
+            let job = Job { id: job, class: 0, deadline, size_hint: None, slots: 1, key, customer: 0 };
+            host.handle(Event::JobArrived(job));
+            workers.extend(host.worker_of(id).filter(|_| key == 77));
+            host.end_attempt(id, 0, AttemptResult::Success);
+        }
+        workers
+    };
+    let all: std::collections::BTreeSet<u32> = (0..20).flat_map(workers).collect();
+    // Of one in fifty jobs it is up to one in twenty workers, the same ones for all twenty dispatchers.
+    assert!((1..=10).contains(&all.len()), "{all:?}");
+}
+
+/// How many jobs of one key each of 60 workers gets from 100 dispatchers, if `of_ten` of ten jobs have that key.
+fn jobs_by_worker(of_ten: u32) -> std::collections::BTreeMap<u32, usize> {
+    let settings =
+        Settings { fetch_cost: 0.1, report_fields: Vec::new(), scheduler_count: 100, ..settings() };
+    let mut workers = std::collections::BTreeMap::new();
+    for seed in 0..100 {
+        let mut host = TestHost::with_seed(settings.clone(), seed, SECOND);
+        host.update_list(ListUpdate::Cached, (1..=60).map(endpoint).collect());
+        for id in 1..=100 {
+            host.actions.clear();
+            let key = if id % 10 < of_ten { 77 } else { 1_000 + u64::from(id) * 100 + seed };
+            let job = Job {
+                id: JobId(id),
+                class: 0,
+                deadline: host.now + 5 * SECOND,
+                size_hint: None,
+                slots: 1,
+                key,
+                customer: 0,
+            };
+            host.handle(Event::JobArrived(job));
+            if let Some(worker) = host.worker_of(id).filter(|_| key == 77) {
+                *workers.entry(worker).or_default() += 1;
+            }
+            host.end_attempt(id, 0, AttemptResult::Success);
+        }
+    }
+    workers
+}
+
+#[test]
+fn key_with_more_jobs_has_more_affinity_candidates() {
+    // A fifth of all jobs must not go to two workers out of sixty, though each of 100 dispatchers sees few of them.
+    let hot = jobs_by_worker(2);
+    let warm = jobs_by_worker(1);
+    let most = |workers: &std::collections::BTreeMap<u32, usize>| {
+        *workers.values().max().unwrap() as f64 / workers.values().sum::<usize>() as f64
+    };
+    assert!(most(&hot) < 0.2, "no worker has a fifth of them: {hot:?}");
+    assert!(warm.len() < hot.len() && hot.len() <= 36, "but few have to fetch it: {warm:?} {hot:?}");
+}
+
+#[test]
+fn first_jobs_of_a_popular_key_are_spread_over_several_workers() {
+    // A key may be popular in the fleet and new to each dispatcher.
+    let mut workers = std::collections::BTreeMap::new();
+    for seed in 0..300 {
+        let settings = Settings { fetch_cost: 0.1, scheduler_count: 300, ..settings() };
+        let mut host = TestHost::with_seed(settings, seed, SECOND);
+        host.update_list(ListUpdate::Cached, (1..=180).map(endpoint).collect());
+        let job = Job {
+            id: JobId(1),
+            class: 0,
+            deadline: 6 * SECOND,
+            size_hint: None,
+            slots: 1,
+            key: 77,
+            customer: 0,
+        };
+        host.handle(Event::JobArrived(job));
+        host.worker_of(1).into_iter().for_each(|worker| *workers.entry(worker).or_insert(0) += 1);
+    }
+    assert!(workers.len() >= 12 && workers.values().all(|jobs| *jobs < 45), "{workers:?}");
+    assert!(workers.len() < 60, "nor does every worker fetch it: {workers:?}");
+}
