--- a/crates/import/src/account.rs
+++ b/crates/import/src/account.rs
@@ -1,4 +1,4 @@
-//! What became of each directive, in words.
+//! The account of an import: what became of each directive, in words.
 
 use serde::Serialize;
 use std::fmt;
@@ -15,13 +15,20 @@
     pub column: usize,
 }
 
+impl Place {
+    /// The first character of a file.
+    pub fn start_of(file: &str) -> Place {
+        Place { file: file.into(), line: 1, column: 1 }
+    }
+}
+
 impl fmt::Display for Place {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
 }
 
-/// What became of a directive.
+/// How much of a directive the setup has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
@@ -33,16 +40,47 @@
     NotCarried,
 }
 
+/// What became of a directive.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Outcome {
+    verdict: Verdict,
+    note: String,
+    by_hand: String,
+}
+
+impl Outcome {
+    /// The setup means the same; `note` says what stands for the directive.
+    pub fn carried(note: impl Into<String>) -> Outcome {
+        Outcome { verdict: Verdict::Carried, note: note.into(), by_hand: String::new() }
+    }
+
+    /// The setup means nearly the same; `note` says what differs.
+    pub fn approximated(note: impl Into<String>) -> Outcome {
+        Outcome { verdict: Verdict::Approximated, note: note.into(), by_hand: String::new() }
+    }
+
+    /// The setup lacks it; `by_hand` says what the operator can do.
+    pub fn not_carried(why: impl Into<String>, by_hand: impl Into<String>) -> Outcome {
+        Outcome { verdict: Verdict::NotCarried, note: why.into(), by_hand: by_hand.into() }
+    }
+
+    /// The setup lacks it because its value cannot be read.
+    pub fn unreadable_value(by_hand: &str) -> Outcome {
+        Outcome::not_carried("its value cannot be read", by_hand)
+    }
+}
+
 /// A directive, or a part of one.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Entry {
     /// Where it stands.
     pub place: Place,
-    /// What it says.
-    pub what: String,
-    /// What became of it.
+    /// Its text.
+    #[serde(rename = "what")]
+    pub directive: String,
+    /// How much of it the setup has.
     pub verdict: Verdict,
-    /// What it is now, what differs, or why it is not there.
+    /// What stands for it, what differs, or why the setup lacks it.
     pub note: String,
     /// What is to be done by hand; empty where nothing is.
     pub by_hand: String,
@@ -56,77 +94,55 @@
 }
 
 impl Account {
-    /// A directive means the same in the setup.
-    pub fn carried(&mut self, place: &Place, what: &str, note: &str) {
-        self.add(place, what, Verdict::Carried, note, "");
-    }
-
-    /// It means nearly the same.
-    pub fn approximated(&mut self, place: &Place, what: &str, note: &str) {
-        self.add(place, what, Verdict::Approximated, note, "");
-    }
-
-    /// It is not there.
-    pub fn not_carried(&mut self, place: &Place, what: &str, why: &str, by_hand: &str) {
-        self.add(place, what, Verdict::NotCarried, why, by_hand);
-    }
-
-    fn add(&mut self, place: &Place, what: &str, verdict: Verdict, note: &str, by_hand: &str) {
-        let (place, what, note, by_hand) = (place.clone(), what.into(), note.into(), by_hand.into());
-        self.entries.push(Entry { place, what, verdict, note, by_hand });
+    /// Adds what became of a directive.
+    pub fn add(&mut self, place: &Place, directive: impl Into<String>, outcome: Outcome) {
+        self.entries.push(Entry {
+            place: place.clone(),
+            directive: directive.into(),
+            verdict: outcome.verdict,
+            note: outcome.note,
+            by_hand: outcome.by_hand,
+        });
     }
 
-    /// Whether something is not there.
+    /// Whether the setup lacks something.
     pub fn lacks(&self) -> bool {
         self.entries.iter().any(|e| e.verdict == Verdict::NotCarried)
     }
 
-    /// Puts the entries in the order of files (as they came) and places, each once.
+    /// Sorts the entries by file, in the order in which files were first read, and place, and drops repeated ones.
     pub fn sort(&mut self) {
         let mut files: Vec<Rc<str>> = Vec::new();
-        for e in &self.entries {
-            if !files.contains(&e.place.file) {
-                files.push(e.place.file.clone());
+        for entry in &self.entries {
+            if !files.contains(&entry.place.file) {
+                files.push(entry.place.file.clone());
             }
         }
-        let rank = |e: &Entry| files.iter().position(|f| *f == e.place.file);
-        self.entries.sort_by_key(|e| (rank(e), e.place.line, e.place.column));
-        // A template is read for each that refers to it.
+        let rank = |entry: &Entry| files.iter().position(|file| *file == entry.place.file);
+        self.entries.sort_by_key(|entry| (rank(entry), entry.place.line, entry.place.column));
+        // A template is translated once for each worker that refers to it.
         self.entries.dedup();
     }
 }
 
 impl fmt::Display for Account {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        for e in &self.entries {
-            let verdict = match e.verdict {
+        for entry in &self.entries {
+            let verdict = match entry.verdict {
                 Verdict::Carried => "carried",
                 Verdict::Approximated => "approximated",
                 Verdict::NotCarried => "NOT CARRIED",
             };
-            write!(f, "{}: {verdict}: {}: {}", e.place, e.what, e.note)?;
-            if !e.by_hand.is_empty() {
-                write!(f, "; by hand: {}", e.by_hand)?;
+            write!(f, "{}: {verdict}: {}: {}", entry.place, entry.directive, entry.note)?;
+            if !entry.by_hand.is_empty() {
+                write!(f, "; by hand: {}", entry.by_hand)?;
             }
             writeln!(f)?;
         }
-        let count = |v| self.entries.iter().filter(|e| e.verdict == v).count();
-        let [a, b, c] = [Verdict::Carried, Verdict::Approximated, Verdict::NotCarried].map(count);
-        writeln!(f, "{a} carried, {b} approximated, {c} not carried")
-    }
-}
-
-/// Why nothing can be imported.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Unreadable {
-    /// Where.
-    pub place: Place,
-    /// Why.
-    pub what: String,
-}
-
-impl fmt::Display for Unreadable {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.what)
+        let count = |verdict| self.entries.iter().filter(|entry| entry.verdict == verdict).count();
+        let carried = count(Verdict::Carried);
+        let approximated = count(Verdict::Approximated);
+        let not_carried = count(Verdict::NotCarried);
+        writeln!(f, "{carried} carried, {approximated} approximated, {not_carried} not carried")
     }
 }
--- a/crates/import/src/ajp.rs
+++ b/crates/import/src/ajp.rs
@@ -1,46 +1,80 @@
-//! AJP is not spoken. Most containers that speak it speak HTTP at another port: which, the operator says.
+//! Workers that are named by AJP addresses. This scheduler does not speak AJP; most containers that do speak HTTP at
+//! another port, which the operator has to say.
 
 use std::collections::BTreeMap;
+use thiserror::Error;
+
+/// What to do about a worker of which only the AJP address is known.
+pub const BY_HAND: &str =
+    "say where it speaks HTTP: --ajp-as-http HOST:PORT=HOST:PORT or --ajp-port-map 8009=8080";
+
+/// Why an option on AJP cannot be read.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum AjpError {
+    /// Two addresses are needed.
+    #[error("{text:?}: write HOST:PORT=HOST:PORT")]
+    Address {
+        /// The option's value.
+        text: String,
+    },
+    /// Two ports are needed.
+    #[error("{text:?}: write PORT=PORT, such as 8009=8080")]
+    Port {
+        /// The option's value.
+        text: String,
+    },
+}
+
+/// For callers whose errors are texts.
+impl From<AjpError> for String {
+    fn from(error: AjpError) -> String {
+        error.to_string()
+    }
+}
 
 /// Where workers that are named by AJP addresses speak HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ajp {
-    /// By host and port.
+    /// HTTP addresses by AJP address.
     pub addresses: BTreeMap<String, String>,
-    /// By port alone.
+    /// HTTP ports by AJP port, for addresses that are not named.
     pub ports: BTreeMap<u16, u16>,
 }
 
 impl Ajp {
-    /// Reads `HOST:PORT=HOST:PORT`.
+    /// Adds an address, from `HOST:PORT=HOST:PORT`.
     ///
     /// # Errors
-    /// What to write.
-    pub fn address(&mut self, text: &str) -> Result<(), String> {
-        let both = text.split_once('=').filter(|(a, b)| [a, b].iter().all(|t| t.rsplit_once(':').is_some()));
-        let (from, to) = both.ok_or_else(|| format!("{text:?}: write HOST:PORT=HOST:PORT"))?;
-        self.addresses.insert(from.into(), to.into());
-        Ok(())
+    /// The text has another form.
+    pub fn address(&mut self, text: &str) -> Result<(), AjpError> {
+        match text.split_once('=') {
+            Some((ajp, http)) if ajp.contains(':') && http.contains(':') => {
+                self.addresses.insert(ajp.into(), http.into());
+                Ok(())
+            }
+            _ => Err(AjpError::Address { text: text.into() }),
+        }
     }
 
-    /// Reads `8009=8080`.
+    /// Adds a port, from `8009=8080`.
     ///
     /// # Errors
-    /// What to write.
-    pub fn port(&mut self, text: &str) -> Result<(), String> {
-        let ports = text.split_once('=').and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
-        let (from, to) = ports.ok_or_else(|| format!("{text:?}: write PORT=PORT, such as 8009=8080"))?;
-        self.ports.insert(from, to);
+    /// The text has another form.
+    pub fn port(&mut self, text: &str) -> Result<(), AjpError> {
+        let error = || AjpError::Port { text: text.into() };
+        let (ajp, http) = text.split_once('=').ok_or_else(error)?;
+        let ajp = ajp.parse().map_err(|_| error())?;
+        let http = http.parse().map_err(|_| error())?;
+        self.ports.insert(ajp, http);
         Ok(())
     }
 
-    /// Where such a worker speaks HTTP, if anybody has said.
+    /// The HTTP address of a worker with this AJP address, if it is known.
     pub fn http(&self, host: &str, port: u16) -> Option<String> {
-        let whole = self.addresses.get(&format!("{host}:{port}")).cloned();
-        whole.or_else(|| self.ports.get(&port).map(|port| format!("{host}:{port}")))
+        if let Some(address) = self.addresses.get(&format!("{host}:{port}")) {
+            return Some(address.clone());
+        }
+        let http_port = self.ports.get(&port)?;
+        Some(format!("{host}:{http_port}"))
     }
 }
-
-/// What to do about a worker that only speaks AJP.
-pub const BY_HAND: &str =
-    "say where it speaks HTTP: --ajp-as-http HOST:PORT=HOST:PORT or --ajp-port-map 8009=8080";
--- a/crates/import/src/apache/expand.rs
+++ b/crates/import/src/apache/expand.rs
@@ -1,27 +1,28 @@
-//! What a configuration comes to: includes read in, variables put in, and sections that depend on modules or defines
+//! Expands a configuration: includes are read, variables replaced, and sections that depend on modules or defines
 //! opened or left out.
 
 use super::syntax::{parse, Item, Line};
-use crate::account::{Account, Place, Unreadable};
-use crate::files::{folder_of, seen_from, Files};
-use crate::text::put_in;
+use crate::account::{Account, Outcome, Place};
+use crate::error::{ImportError, ImportProblem};
+use crate::files::{folder_of, resolve, Files};
+use crate::text::substitute;
 use std::collections::BTreeMap;
 
-/// Includes go no deeper.
-const DEEPEST: usize = 64;
+/// Files that include each other are read to this depth.
+const MAX_INCLUDE_DEPTH: usize = 64;
 
-/// A configuration in one piece.
+/// A configuration without includes, variables and conditions.
 pub struct Expanded {
-    /// All of it.
+    /// Its directives and sections.
     pub items: Vec<Item>,
-    /// What became of what is gone by now.
+    /// What became of the parts that were expanded.
     pub account: Account,
 }
 
 struct Expander<'a> {
     files: &'a dyn Files,
     defines: BTreeMap<String, String>,
-    /// Where relative paths start; else at the file that names them.
+    /// The folder for relative paths; `None`: that of the file that names them.
     root: Option<String>,
     /// The files that are being read, the outermost first.
     reading: Vec<String>,
@@ -32,8 +33,8 @@
 ///
 /// # Errors
 /// A file cannot be read, or includes itself.
-pub fn expand(names: &[String], files: &dyn Files) -> Result<Expanded, Unreadable> {
-    let mut e = Expander {
+pub fn expand(names: &[String], files: &dyn Files) -> Result<Expanded, ImportError> {
+    let mut expander = Expander {
         files,
         defines: BTreeMap::new(),
         root: None,
@@ -42,38 +43,34 @@
     };
     let mut items = Vec::new();
     for name in names {
-        let place = Place { file: name.as_str().into(), line: 1, column: 1 };
-        items.extend(e.file(name, &place)?);
+        items.extend(expander.file(name, &Place::start_of(name))?);
     }
-    Ok(Expanded { items, account: e.account })
+    Ok(Expanded { items, account: expander.account })
 }
 
 impl Expander<'_> {
-    fn file(&mut self, name: &str, from: &Place) -> Result<Vec<Item>, Unreadable> {
-        if let Some(at) = self.reading.iter().position(|r| r == name) {
-            let ring: Vec<&str> = self.reading[at..].iter().map(String::as_str).chain([name]).collect();
-            return Err(Unreadable {
-                place: from.clone(),
-                what: format!("includes form a ring: {}", ring.join(" -> ")),
-            });
+    /// Reads a file that is named at `from`.
+    fn file(&mut self, name: &str, from: &Place) -> Result<Vec<Item>, ImportError> {
+        let error = |problem| ImportError { place: from.clone(), problem };
+        if let Some(first) = self.reading.iter().position(|file| file == name) {
+            let mut files = self.reading[first..].to_vec();
+            files.push(name.to_string());
+            return Err(error(ImportProblem::IncludeRing { files }));
         }
-        if self.reading.len() >= DEEPEST {
-            return Err(Unreadable {
-                place: from.clone(),
-                what: format!("includes go deeper than {DEEPEST}"),
-            });
+        if self.reading.len() >= MAX_INCLUDE_DEPTH {
+            return Err(error(ImportProblem::IncludeDepth { limit: MAX_INCLUDE_DEPTH }));
         }
         let text = self
             .files
             .read(name)
-            .map_err(|e| Unreadable { place: from.clone(), what: format!("{name}: {e}") })?;
+            .map_err(|cause| error(ImportProblem::IncludedFile { name: name.to_string(), cause }))?;
         self.reading.push(name.to_string());
         let items = parse(name, &text).and_then(|items| self.items(items));
         self.reading.pop();
         items
     }
 
-    fn items(&mut self, items: Vec<Item>) -> Result<Vec<Item>, Unreadable> {
+    fn items(&mut self, items: Vec<Item>) -> Result<Vec<Item>, ImportError> {
         let mut out = Vec::new();
         for item in items {
             match item {
@@ -84,15 +81,15 @@
         Ok(out)
     }
 
-    fn directive(&mut self, mut line: Line, out: &mut Vec<Item>) -> Result<(), Unreadable> {
+    fn directive(&mut self, mut line: Line, out: &mut Vec<Item>) -> Result<(), ImportError> {
         if line.is("Define") {
-            let name = line.word(0).unwrap_or("").to_string();
-            let value = self.substitute(line.word(1).unwrap_or(""), &line.place);
+            let name = line.word(0).unwrap_or_default().to_string();
+            let value = self.substitute(line.word(1).unwrap_or_default(), &line.place);
             self.defines.insert(name, value);
             return Ok(());
         }
         if line.is("UnDefine") {
-            self.defines.remove(line.word(0).unwrap_or(""));
+            self.defines.remove(line.word(0).unwrap_or_default());
             return Ok(());
         }
         self.words(&mut line);
@@ -100,40 +97,52 @@
             self.root = line.word(0).map(String::from);
         }
         if line.is("Include") || line.is("IncludeOptional") {
-            let Some(path) = line.word(0) else {
-                return Err(Unreadable { place: line.place, what: format!("{} names no file", line.name) });
-            };
-            let folder = self.root.clone().unwrap_or_else(|| folder_of(&line.place.file));
-            let path = seen_from(&folder, path);
-            let pattern = path.contains(['*', '?', '[']);
-            let wrong = |what: String| Unreadable { place: line.place.clone(), what };
-            let mut names = if pattern { self.files.glob(&path).map_err(wrong)? } else { vec![path.clone()] };
-            if line.is("IncludeOptional") && !pattern {
-                names.retain(|name| self.files.read(name).is_ok());
-            } else if names.is_empty() && line.is("Include") {
-                let what = format!("no file matches {path}; IncludeOptional would allow that");
-                return Err(Unreadable { place: line.place, what });
-            }
-            for name in names {
-                out.extend(self.file(&name, &line.place)?);
-            }
-            return Ok(());
+            return self.include(&line, out);
         }
         out.push(Item::Directive(line));
         Ok(())
     }
 
-    fn section(&mut self, mut line: Line, inside: Vec<Item>, out: &mut Vec<Item>) -> Result<(), Unreadable> {
+    fn include(&mut self, line: &Line, out: &mut Vec<Item>) -> Result<(), ImportError> {
+        let is_optional = line.is("IncludeOptional");
+        let error = |problem| ImportError { place: line.place.clone(), problem };
+        let Some(path) = line.word(0) else {
+            return Err(error(ImportProblem::IncludeWithoutFile { directive: line.name.clone() }));
+        };
+        let folder = match &self.root {
+            Some(root) => root.clone(),
+            None => folder_of(&line.place.file),
+        };
+        let path = resolve(&folder, path);
+        let names = if path.contains(['*', '?', '[']) {
+            self.files.glob(&path).map_err(|cause| error(cause.into()))?
+        } else if is_optional && self.files.read(&path).is_err() {
+            Vec::new()
+        } else {
+            vec![path.clone()]
+        };
+        if names.is_empty() && !is_optional {
+            return Err(error(ImportProblem::NoMatch { pattern: path }));
+        }
+        for name in names {
+            out.extend(self.file(&name, &line.place)?);
+        }
+        Ok(())
+    }
+
+    fn section(&mut self, mut line: Line, inside: Vec<Item>, out: &mut Vec<Item>) -> Result<(), ImportError> {
         self.words(&mut line);
-        let condition = line.word(0).unwrap_or("").to_string();
-        let (not, name) =
-            condition.strip_prefix('!').map_or((false, condition.as_str()), |name| (true, name));
+        let condition = line.word(0).unwrap_or_default();
+        let (is_negated, name) = match condition.strip_prefix('!') {
+            Some(name) => (true, name),
+            None => (false, condition),
+        };
         let holds = if line.is("IfDefine") {
             self.defines.contains_key(name)
         } else if line.is("IfModule") {
-            if !known_module(name) {
-                let note = "taken as if the module were there";
-                self.account.approximated(&line.place, &format!("<{}>", line.text()), note);
+            if !is_balancer_module(name) {
+                let outcome = Outcome::approximated("taken as if the module were there");
+                self.account.add(&line.place, format!("<{}>", line.text()), outcome);
             }
             true
         } else {
@@ -141,12 +150,13 @@
             out.push(Item::Section(line, inside));
             return Ok(());
         };
-        if holds != not {
+        if holds != is_negated {
             out.extend(self.items(inside)?);
         }
         Ok(())
     }
 
+    /// Replaces the variables in all words of a line.
     fn words(&mut self, line: &mut Line) {
         for word in &mut line.words {
             if word.text.contains("${") {
@@ -155,23 +165,23 @@
         }
     }
 
-    /// Puts values in the place of `${NAME}`; one that is not defined stays, as with Apache.
+    /// Replaces `${NAME}` by its value; a variable that is not defined stays, as with Apache.
     fn substitute(&mut self, text: &str, place: &Place) -> String {
         let Expander { defines, account, .. } = self;
-        put_in(text, "${", '}', |name| {
+        substitute(text, "${", '}', |name| {
             let value = defines.get(name).cloned();
             if value.is_none() {
                 let why = "the variable is not defined in these files; it may come from the environment";
                 let by_hand = format!("add Define {name} VALUE and import again");
-                account.not_carried(place, &format!("${{{name}}}"), why, &by_hand);
+                account.add(place, format!("${{{name}}}"), Outcome::not_carried(why, by_hand));
             }
             value
         })
     }
 }
 
-/// Whether a module is surely there where balancers are in use.
-fn known_module(name: &str) -> bool {
+/// Whether a module is certainly loaded where balancers are in use.
+fn is_balancer_module(name: &str) -> bool {
     let name = name.trim_start_matches("mod_").trim_end_matches(".c").trim_end_matches("_module");
     name.starts_with("proxy") || name.starts_with("lbmethod") || name.starts_with("slotmem")
 }
--- a/crates/import/src/apache/mod.rs
+++ b/crates/import/src/apache/mod.rs
@@ -1,12 +1,12 @@
-//! Apache's configuration: syntax, what it includes, and what its balancers become.
+//! Imports Apache's configuration: parse, expand includes and variables, translate balancers.
 
 pub mod expand;
 pub mod syntax;
 mod translate;
 mod units;
 
-use crate::account::Unreadable;
 use crate::ajp::Ajp;
+use crate::error::ImportError;
 use crate::files::Files;
 use crate::Imported;
 
@@ -14,7 +14,7 @@
 ///
 /// # Errors
 /// A file cannot be read, or is no Apache configuration.
-pub fn import(names: &[String], files: &dyn Files, ajp: &Ajp) -> Result<Imported, Unreadable> {
+pub fn import(names: &[String], files: &dyn Files, ajp: &Ajp) -> Result<Imported, ImportError> {
     let expanded = expand::expand(names, files)?;
     let mut imported = translate::translate(expanded, ajp);
     imported.account.sort();
--- /dev/null
+++ b/crates/import/src/apache/translate/members.rs
@@ -0,0 +1,84 @@
+//! Translates members of balancers into workers.
+
+use super::{is_balancer_url, label, Scope, Translator};
+use crate::account::{Outcome, Place};
+use crate::ajp::BY_HAND;
+use crate::apache::syntax::{Line, Word};
+use crate::apache::units::Url;
+use postusher_setup::Worker;
+
+impl Translator<'_> {
+    pub(super) fn balancer_member(&mut self, line: &Line, scope: &Scope) {
+        let named = line.word(0).filter(|word| is_balancer_url(word));
+        let words = if named.is_some() { &line.words[1..] } else { &line.words[..] };
+        let Some(target) = named.or(scope.proxy.as_deref()) else {
+            let by_hand = "put it into <Proxy balancer://NAME>";
+            let outcome = Outcome::not_carried("it names no balancer", by_hand);
+            self.account.add(&line.place, line.text(), outcome);
+            return;
+        };
+        let Some(url) = words.first().and_then(|word| Url::parse(&word.text)) else {
+            let outcome = Outcome::not_carried("it names no URL with a host", "write the worker by hand");
+            self.account.add(&line.place, line.text(), outcome);
+            return;
+        };
+        let Some(address) = self.http_address(&line.place, &line.text(), &url) else { return };
+        let number = self.balancer(target);
+        self.add_member(number, line, &words[1..], &url, address);
+    }
+
+    fn add_member(&mut self, number: usize, line: &Line, parameters: &[Word], url: &Url, address: String) {
+        let balancer = &mut self.balancers[number];
+        if let Some(path) = balancer.paths.first() {
+            if path.trim_end_matches('/') != url.path.trim_end_matches('/') {
+                let why = "its path differs from that of the members before it";
+                let outcome = Outcome::not_carried(why, "give all members of a pool one path");
+                self.account.add(&line.place, line.text(), outcome);
+                return;
+            }
+        }
+        let workers = &mut balancer.pool.workers;
+        let worker_number = match workers.iter().position(|worker| worker.addr == address) {
+            Some(known) => {
+                let note = "listed twice: what is said here is added to the first";
+                self.account.add(&line.place, line.text(), Outcome::approximated(note));
+                known
+            }
+            None => {
+                let id = label(&format!("{}-{}", url.host, url.port));
+                workers.push(Worker { id, addr: address, ..Worker::default() });
+                balancer.paths.push(url.path.clone());
+                self.account.add(&line.place, line.text(), Outcome::carried("a worker of the pool"));
+                workers.len() - 1
+            }
+        };
+        for word in parameters {
+            self.worker_parameter(number, worker_number, word);
+        }
+    }
+
+    /// The HTTP address of a worker; `None` if it has none, which is recorded for the directive.
+    pub(super) fn http_address(&mut self, place: &Place, directive: &str, url: &Url) -> Option<String> {
+        let Url { scheme, host, port, .. } = url;
+        match scheme.as_str() {
+            "http" => Some(format!("{host}:{port}")),
+            "ajp" => {
+                let address = self.ajp.http(host, *port);
+                let outcome = match &address {
+                    Some(address) => Outcome::approximated(format!(
+                        "AJP is not spoken; it is asked by HTTP at {address}, as told"
+                    )),
+                    None => Outcome::not_carried("AJP is not spoken", BY_HAND),
+                };
+                self.account.add(place, directive, outcome);
+                address
+            }
+            _ => {
+                let why = format!("{scheme} is not spoken to workers");
+                let outcome = Outcome::not_carried(why, "give the worker an HTTP/1.1 port");
+                self.account.add(place, directive, outcome);
+                None
+            }
+        }
+    }
+}
--- a/crates/import/src/apache/units.rs
+++ b/crates/import/src/apache/units.rs
@@ -1,6 +1,12 @@
 //! Values of Apache's parameters.
 
-/// A length of time in milliseconds: seconds, unless a unit (`ms`, `s`, `mi`, `h`) says otherwise.
+#[cfg(test)]
+mod tests;
+
+/// More digits of a time are not read.
+const MAX_DIGITS: usize = 9;
+
+/// A length of time in milliseconds: seconds, unless a unit (`ms`, `s`, `mi`, `h`) says otherwise. `None` if it is none.
 pub fn time(text: &str) -> Option<f64> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let factor = match text[digits.len()..].to_ascii_lowercase().as_str() {
@@ -10,11 +16,14 @@
         "h" => 3_600e3,
         _ => return None,
     };
-    let whole = !digits.is_empty() && digits.len() <= 9 && digits.bytes().all(|b| b.is_ascii_digit());
-    Some(digits.parse::<f64>().ok().filter(|_| whole)? * factor)
+    if digits.len() > MAX_DIGITS || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    let number: f64 = digits.parse().ok()?;
+    Some(number * factor)
 }
 
-/// `On` or `Off`, in any case.
+/// `On` or `Off`, in any case; `None` for another word.
 pub fn switch(text: &str) -> Option<bool> {
     match text.to_ascii_lowercase().as_str() {
         "on" => Some(true),
@@ -23,44 +32,48 @@
     }
 }
 
-/// The parts of a URL: its scheme, host, port (the scheme's own where none is named) and path.
-pub fn url(text: &str) -> Option<(String, String, u16, String)> {
-    let (scheme, rest) = text.split_once("://")?;
-    let scheme = scheme.to_ascii_lowercase();
-    let (authority, path) = rest.find('/').map_or((rest, ""), |at| rest.split_at(at));
-    let usual = match scheme.as_str() {
+/// The parts of a URL.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Url {
+    /// The scheme, in lower case.
+    pub scheme: String,
+    /// The host; an IPv6 address stands in brackets.
+    pub host: String,
+    /// The port; that of the scheme where none is named, and 0 where the scheme is not known.
+    pub port: u16,
+    /// The path, empty or with its first slash.
+    pub path: String,
+}
+
+impl Url {
+    /// Parses a URL; `None` if it has no scheme, no host or no valid port.
+    pub fn parse(text: &str) -> Option<Url> {
+        let (scheme, rest) = text.split_once("://")?;
+        let scheme = scheme.to_ascii_lowercase();
+        let (authority, path) = match rest.find('/') {
+            Some(slash) => rest.split_at(slash),
+            None => (rest, ""),
+        };
+        let (host, port) = match authority.rfind(':') {
+            // A colon before a bracket belongs to an IPv6 address.
+            Some(colon) if !authority[colon..].contains(']') => {
+                (&authority[..colon], authority[colon + 1..].parse().ok()?)
+            }
+            _ => (authority, default_port(&scheme)),
+        };
+        if host.is_empty() {
+            return None;
+        }
+        Some(Url { scheme, host: host.to_string(), port, path: path.to_string() })
+    }
+}
+
+fn default_port(scheme: &str) -> u16 {
+    match scheme {
         "http" | "ws" | "h2c" => 80,
         "https" | "wss" | "h2" => 443,
         "ajp" => 8009,
         "fcgi" => 8000,
         _ => 0,
-    };
-    let port_at = authority.rfind(':').filter(|at| !authority[*at..].contains(']'));
-    let (host, port) = match port_at {
-        Some(at) => (&authority[..at], authority[at + 1..].parse().ok()?),
-        None => (authority, usual),
-    };
-    (!host.is_empty()).then(|| (scheme, host.to_string(), port, path.to_string()))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_switches_and_urls_are_read() {
-        assert_eq!(
-            [time("5"), time("500ms"), time("2mi"), time("x")],
-            [Some(5e3), Some(500.0), Some(120e3), None]
-        );
-        assert_eq!([switch("ON"), switch("off"), switch("1")], [Some(true), Some(false), None]);
-        let parts = |t| url(t).map(|(s, h, p, path)| format!("{s} {h} {p} {path}"));
-        assert_eq!(parts("http://a:8080/x/y").unwrap(), "http a 8080 /x/y");
-        assert_eq!(parts("AJP://a").unwrap(), "ajp a 8009 ");
-        assert_eq!(parts("http://[::1]:9/").unwrap(), "http [::1] 9 /");
-        assert_eq!(
-            (parts("http://[::1]").unwrap().as_str(), parts("a:80"), parts("http://:80")),
-            ("http [::1] 80 ", None, None)
-        );
     }
 }
--- a/crates/import/src/files.rs
+++ b/crates/import/src/files.rs
@@ -1,37 +1,58 @@
 //! The files that an import reads, so that tests bring their own.
 
 use std::collections::BTreeMap;
+use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// Why a file cannot be read.
+#[derive(Debug, Error)]
+pub enum FileError {
+    /// The operating system does not give it.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// It is not UTF-8 text.
+    #[error("this is not UTF-8")]
+    NotUtf8,
+    /// It is not among the files in memory.
+    #[error("there is no such file")]
+    NotFound,
+    /// A pattern of file names is malformed.
+    #[error(transparent)]
+    Pattern(#[from] glob::PatternError),
+}
 
 /// Where files come from.
 pub trait Files {
     /// A file's text.
     ///
     /// # Errors
-    /// Why it cannot be read.
-    fn read(&self, path: &str) -> Result<String, String>;
+    /// The file cannot be read, or is no text.
+    fn read(&self, path: &str) -> Result<String, FileError>;
 
-    /// The files that a pattern names, in order.
+    /// The files that a pattern matches, in order.
     ///
     /// # Errors
-    /// It is no pattern.
-    fn glob(&self, pattern: &str) -> Result<Vec<String>, String>;
+    /// The pattern is malformed.
+    fn glob(&self, pattern: &str) -> Result<Vec<String>, FileError>;
 }
 
 /// The disk.
 pub struct Disk;
 
 impl Files for Disk {
-    fn read(&self, path: &str) -> Result<String, String> {
-        let bytes = std::fs::read(path).map_err(|e| e.to_string())?;
-        String::from_utf8(bytes).map_err(|_| "this is not UTF-8".into())
+    fn read(&self, path: &str) -> Result<String, FileError> {
+        let bytes = std::fs::read(path)?;
+        String::from_utf8(bytes).map_err(|_| FileError::NotUtf8)
     }
 
-    fn glob(&self, pattern: &str) -> Result<Vec<String>, String> {
-        let paths = glob::glob(pattern).map_err(|e| e.to_string())?;
+    fn glob(&self, pattern: &str) -> Result<Vec<String>, FileError> {
         let mut files = Vec::new();
-        for path in paths.flatten().flat_map(within) {
-            files.push(path.to_string_lossy().into_owned());
+        // Paths that cannot be looked at are left out.
+        for path in glob::glob(pattern)?.flatten() {
+            for file in files_at(path) {
+                files.push(file.to_string_lossy().into_owned());
+            }
         }
         files.sort();
         Ok(files)
@@ -39,7 +60,7 @@
 }
 
 /// A file, or the files in a folder.
-fn within(path: PathBuf) -> Vec<PathBuf> {
+fn files_at(path: PathBuf) -> Vec<PathBuf> {
     if !path.is_dir() {
         return vec![path];
     }
@@ -47,24 +68,24 @@
     entries.map(|e| e.path()).filter(|p| p.is_file()).collect()
 }
 
-/// Files that stand in memory.
+/// Files in memory, by path.
 #[derive(Default)]
 pub struct InMemory(pub BTreeMap<String, String>);
 
 impl Files for InMemory {
-    fn read(&self, path: &str) -> Result<String, String> {
-        self.0.get(path).cloned().ok_or_else(|| "there is no such file".into())
+    fn read(&self, path: &str) -> Result<String, FileError> {
+        self.0.get(path).cloned().ok_or(FileError::NotFound)
     }
 
-    fn glob(&self, pattern: &str) -> Result<Vec<String>, String> {
-        let pattern = glob::Pattern::new(pattern).map_err(|e| e.to_string())?;
+    fn glob(&self, pattern: &str) -> Result<Vec<String>, FileError> {
+        let pattern = glob::Pattern::new(pattern)?;
         let options = glob::MatchOptions { require_literal_separator: true, ..glob::MatchOptions::default() };
         Ok(self.0.keys().filter(|name| pattern.matches_with(name, options)).cloned().collect())
     }
 }
 
-/// A path that is named in a file, seen from a folder.
-pub fn seen_from(folder: &str, path: &str) -> String {
+/// A path relative to a folder; an absolute one stays as it is.
+pub fn resolve(folder: &str, path: &str) -> String {
     if Path::new(path).is_absolute() || folder.is_empty() {
         return path.to_string();
     }
--- a/crates/import/src/mod_jk/mod.rs
+++ b/crates/import/src/mod_jk/mod.rs
@@ -1,11 +1,12 @@
-//! mod_jk's worker files and URI maps: syntax, and what their workers become.
+//! Imports mod_jk's worker files and URI maps.
 
 pub mod syntax;
 mod translate;
 
-use crate::account::{Place, Unreadable};
+use crate::account::Place;
 use crate::ajp::Ajp;
-use crate::files::Files;
+use crate::error::ImportError;
+use crate::files::{FileError, Files};
 use crate::Imported;
 
 /// Imports a worker file, and a URI map where there is one.
@@ -17,17 +18,17 @@
     map: Option<&str>,
     files: &dyn Files,
     ajp: &Ajp,
-) -> Result<Imported, Unreadable> {
+) -> Result<Imported, ImportError> {
     let read = |name: &str| {
-        let place = Place { file: name.into(), line: 1, column: 1 };
-        files.read(name).map_err(|what| Unreadable { place, what })
+        let error = |cause: FileError| ImportError { place: Place::start_of(name), problem: cause.into() };
+        files.read(name).map_err(error)
     };
     let properties = syntax::properties(workers, &read(workers)?)?;
     let rules = match map {
-        Some(map) => syntax::map(map, &read(map)?)?,
-        None => Vec::new(),
+        Some(map) => Some(syntax::map(map, &read(map)?)?),
+        None => None,
     };
-    let mut imported = translate::translate(properties, rules, map.is_some(), ajp);
+    let mut imported = translate::translate(properties, rules, ajp);
     imported.account.sort();
     Ok(imported)
 }
--- a/crates/import/src/replay.rs
+++ b/crates/import/src/replay.rs
@@ -1,35 +1,44 @@
-//! What must hold of any text; for the fuzz targets and for the plain replay of their corpus in the tests.
+//! Checks of what must hold of any text; for the fuzz targets and for the replay of their corpus in the tests.
 
 use crate::files::InMemory;
-use crate::{apache, mod_jk, Ajp};
+use crate::{apache, mod_jk, Ajp, ImportError, Imported};
 
-fn alone(text: &str) -> InMemory {
-    InMemory([("f".to_string(), text.to_string())].into())
+/// The name of the only file.
+const FILE: &str = "f";
+
+fn only_file(text: &str) -> InMemory {
+    InMemory([(FILE.to_string(), text.to_string())].into())
 }
 
-/// A configuration of Apache is read or refused with a place, and its setup reads back.
+/// Checks that a text is imported as a configuration of Apache, or rejected with a place; and that the setup reads back.
 ///
 /// # Panics
 /// Where that does not hold.
 pub fn apache(text: &str) {
-    match apache::import(&["f".to_string()], &alone(text), &Ajp::default()) {
-        Ok(imported) => assert!(postusher_setup::read(&imported.setup()).is_ok(), "{}", imported.setup()),
-        Err(e) => assert!(e.place.line >= 1 && e.place.column >= 1 && !e.what.is_empty()),
-    }
+    check(apache::import(&[FILE.to_string()], &only_file(text), &Ajp::default()));
 }
 
-/// A worker file of mod_jk, which is taken for its own map, too, is read or refused with a place, and its setup reads
-/// back.
+/// Checks the same of a worker file of mod_jk, alone and as its own URI map.
 ///
 /// # Panics
 /// Where that does not hold.
 pub fn mod_jk(text: &str) {
     let mut ajp = Ajp::default();
     ajp.ports.insert(8009, 8080);
-    for map in [None, Some("f")] {
-        match mod_jk::import("f", map, &alone(text), &ajp) {
-            Ok(imported) => assert!(postusher_setup::read(&imported.setup()).is_ok(), "{}", imported.setup()),
-            Err(e) => assert!(e.place.line >= 1 && e.place.column >= 1 && !e.what.is_empty()),
+    for map in [None, Some(FILE)] {
+        check(mod_jk::import(FILE, map, &only_file(text), &ajp));
+    }
+}
+
+fn check(result: Result<Imported, ImportError>) {
+    match result {
+        Ok(imported) => {
+            let setup = imported.setup();
+            assert!(postusher_setup::read(&setup).is_ok(), "{setup}");
+        }
+        Err(error) => {
+            assert!(error.place.line >= 1 && error.place.column >= 1);
+            assert!(!error.problem.to_string().is_empty());
         }
     }
 }
--- a/crates/import/src/text.rs
+++ b/crates/import/src/text.rs
@@ -1,58 +1,75 @@
-//! What both formats need of text: places, variables, and names that a setup may have.
+//! Text handling that both formats need: places, variables, and names that a setup may have.
 
 use crate::account::Place;
 use std::rc::Rc;
 
-/// Finds the place of an offset in a file's text.
+/// The longest name; a suffix may follow.
+const MAX_LABEL_CHARS: usize = 100;
+
+/// Converts offsets in a file's text to places.
 pub struct Places<'a> {
     file: Rc<str>,
     text: &'a str,
-    /// Where each line begins.
-    starts: Vec<usize>,
+    /// The offsets at which lines begin.
+    line_starts: Vec<usize>,
 }
 
 impl Places<'_> {
-    /// Of this file.
+    /// Indexes the text of a file.
     pub fn new<'a>(file: &str, text: &'a str) -> Places<'a> {
-        let breaks = text.bytes().enumerate().filter(|(_, b)| *b == b'\n').map(|(n, _)| n + 1);
-        Places { file: file.into(), text, starts: std::iter::once(0).chain(breaks).collect() }
+        let mut line_starts = vec![0];
+        for (offset, byte) in text.bytes().enumerate() {
+            if byte == b'\n' {
+                line_starts.push(offset + 1);
+            }
+        }
+        Places { file: file.into(), text, line_starts }
     }
 
-    /// Where an offset lies.
+    /// The place of an offset.
     pub fn at(&self, offset: usize) -> Place {
-        let line = self.starts.partition_point(|start| *start <= offset);
-        let start = self.starts[line - 1];
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let start = self.line_starts[line - 1];
         let column = 1 + self.text.get(start..offset).map_or(0, |t| t.chars().count());
         Place { file: self.file.clone(), line, column }
     }
 }
 
-/// A file's text without the mark that some systems put before it.
-pub fn unmarked(text: &str) -> &str {
+/// A file's text without the byte order mark that some editors put before it.
+pub fn without_byte_order_mark(text: &str) -> &str {
     text.strip_prefix('\u{feff}').unwrap_or(text)
 }
 
-/// Puts values in the place of variables, which begin and end so; what has no value stays as it is.
-pub fn put_in(text: &str, begin: &str, end: char, mut value: impl FnMut(&str) -> Option<String>) -> String {
-    let (mut out, mut rest) = (String::new(), text);
-    while let Some(at) = rest.find(begin) {
-        let (before, from) = rest.split_at(at);
-        let Some(close) = from.find(end) else { break };
+/// Replaces variables, which stand between `begin` and `end`, by their values; those without a value stay.
+pub fn substitute(
+    text: &str,
+    begin: &str,
+    end: char,
+    mut value: impl FnMut(&str) -> Option<String>,
+) -> String {
+    let mut out = String::new();
+    let mut rest = text;
+    while let Some(start) = rest.find(begin) {
+        let (before, variable_on) = rest.split_at(start);
+        let Some(close) = variable_on.find(end) else { break };
         out += before;
-        let whole = &from[..=close];
-        out += &value(&whole[begin.len()..close]).unwrap_or_else(|| whole.to_string());
-        rest = &from[close + 1..];
+        let variable = &variable_on[..=close];
+        match value(&variable[begin.len()..close]) {
+            Some(value) => out += &value,
+            None => out += variable,
+        }
+        rest = &variable_on[close + 1..];
     }
     out + rest
 }
 
-/// A name with what a setup may not have in names replaced.
+/// A name that a setup may have: other characters become `-`. Empty if the text is.
 pub fn label(text: &str) -> String {
-    let plain = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '-' };
-    text.chars().map(plain).take(100).collect()
+    let allowed = |c: char| if c.is_ascii_alphanumeric() || "-_.".contains(c) { c } else { '-' };
+    text.chars().map(allowed).take(MAX_LABEL_CHARS).collect()
 }
 
-/// The longest of several times, of which the first takes the place of what is usual.
-pub fn longest(now: &mut f64, usual: f64, ms: f64) {
-    *now = if *now == usual { ms } else { now.max(ms) };
+/// Keeps the longest of several timeouts in milliseconds; the first replaces the default.
+pub fn keep_longest(timeout: &mut f64, default: f64, millis: f64) {
+    *timeout = if *timeout == default { millis } else { timeout.max(millis) };
 }
--- a/crates/import/src/write.rs
+++ b/crates/import/src/write.rs
@@ -1,10 +1,9 @@
-//! The setup file of an import.
+//! Writes the setup file of an import.
 
 use postusher_setup::pool::{REPEATS, ROLES, STATES};
-use postusher_setup::{Pool, Repeat, Role, State};
-use std::fmt::Write;
+use postusher_setup::{Pool, Repeat, Role, Route, State, Sticky, Worker};
 
-/// An element under way: only what differs from the default is written.
+/// The start of an element; attributes that have their default are left out.
 struct Tag(String);
 
 impl Tag {
@@ -12,81 +11,107 @@
         Tag(format!("<{name}"))
     }
 
-    fn put(mut self, name: &str, value: &str) -> Tag {
+    fn attribute(mut self, name: &str, value: &str) -> Tag {
         let escaped = value.replace('&', "&amp;").replace('<', "&lt;").replace('"', "&quot;");
-        let _ = write!(self.0, " {name}=\"{escaped}\""); // a string takes all
+        self.0 += &format!(" {name}=\"{escaped}\"");
         self
     }
 
-    fn maybe(self, name: &str, value: Option<&str>) -> Tag {
+    fn optional(self, name: &str, value: Option<&str>) -> Tag {
         match value {
-            Some(value) => self.put(name, value),
+            Some(value) => self.attribute(name, value),
             None => self,
         }
     }
 
-    fn unless<T: PartialEq>(self, name: &str, value: T, usual: T, text: impl Fn(T) -> String) -> Tag {
-        if value == usual {
+    fn unless_default<T: PartialEq>(
+        self,
+        name: &str,
+        value: T,
+        default: T,
+        text: impl Fn(T) -> String,
+    ) -> Tag {
+        if value == default {
             return self;
         }
-        let text = text(value);
-        self.put(name, &text)
+        self.attribute(name, &text(value))
     }
 }
 
+/// The text of a setup file with these pools.
+pub fn setup(pools: &[Pool]) -> String {
+    let mut out = String::from("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<postusher>\n");
+    for pool in pools {
+        write_pool(&mut out, pool);
+    }
+    out + "</postusher>\n"
+}
+
+fn write_pool(out: &mut String, pool: &Pool) {
+    let default = Pool::default();
+    let tag = Tag::new("pool")
+        .attribute("name", &pool.name)
+        .attribute("answers", "direct")
+        .unless_default("timeout", pool.timeout, default.timeout, millis)
+        .unless_default("connect-timeout", pool.connect_timeout, default.connect_timeout, millis)
+        .unless_default("attempts", pool.attempts, default.attempts, |attempts| attempts.to_string())
+        .unless_default("repeat", pool.repeat, Repeat::Safe, |repeat| word(REPEATS, repeat));
+    *out += &format!("  {}>\n", tag.0);
+    for route in &pool.routes {
+        write_child(out, route_tag(route));
+    }
+    if let Some(sticky) = &pool.sticky {
+        write_child(out, sticky_tag(sticky));
+    }
+    for worker in &pool.workers {
+        write_child(out, worker_tag(worker));
+    }
+    *out += "  </pool>\n";
+}
+
+fn write_child(out: &mut String, tag: Tag) {
+    *out += &format!("    {}/>\n", tag.0);
+}
+
+fn route_tag(route: &Route) -> Tag {
+    Tag::new("route")
+        .optional("host", route.host.as_deref())
+        .optional("path", route.path.as_deref())
+        .optional("to", route.to.as_deref())
+        .unless_default("except", route.except, false, |_| "yes".into())
+}
+
+fn sticky_tag(sticky: &Sticky) -> Tag {
+    Tag::new("sticky")
+        .optional("cookie", sticky.cookie.as_deref())
+        .optional("path", sticky.path.as_deref())
+        .unless_default("strict", sticky.strict, false, |_| "yes".into())
+}
+
+fn worker_tag(worker: &Worker) -> Tag {
+    Tag::new("worker")
+        .attribute("id", &worker.id)
+        .attribute("addr", &worker.addr)
+        .unless_default("weight", worker.weight, 1.0, number)
+        .unless_default("state", worker.state, State::Live, |state| word(STATES, state))
+        .unless_default("role", worker.role, Role::Active, |role| word(ROLES, role))
+        .unless_default("set", worker.set, 0, |set| set.to_string())
+        .optional("route", worker.route.as_deref())
+        .optional("redirect", worker.redirect.as_deref())
+        .unless_default("most", worker.most, None, |most| most.unwrap_or(0).to_string())
+}
+
+/// The word for a value.
 fn word<T: PartialEq + Copy>(words: &[(&'static str, T)], value: T) -> String {
-    words.iter().find(|(_, v)| *v == value).map_or("", |(word, _)| word).to_string()
+    words.iter().find(|(_, meaning)| *meaning == value).map_or("", |(word, _)| word).to_string()
 }
 
-/// A number as the schema has it.
+/// A number with up to four decimal places, without an exponent.
 fn number(value: f64) -> String {
     let text = format!("{value:.4}");
     text.trim_end_matches('0').trim_end_matches('.').to_string()
 }
 
-/// The file's text.
-pub fn setup(pools: &[Pool]) -> String {
-    let mut out = String::from("<?xml version=\"1.0\" encoding=\"UTF-8\"?>\n<postusher>\n");
-    let ms = |value: f64| format!("{}ms", number(value));
-    for p in pools {
-        let usual = Pool::default();
-        let tag = Tag::new("pool")
-            .put("name", &p.name)
-            .put("answers", "direct")
-            .unless("timeout", p.timeout, usual.timeout, ms)
-            .unless("connect-timeout", p.connect_timeout, usual.connect_timeout, ms)
-            .unless("attempts", p.attempts, usual.attempts, |n| n.to_string())
-            .unless("repeat", p.repeat, Repeat::Safe, |r| word(REPEATS, r));
-        out += &format!("  {}>\n", tag.0);
-        for r in &p.routes {
-            let tag = Tag::new("route")
-                .maybe("host", r.host.as_deref())
-                .maybe("path", r.path.as_deref())
-                .maybe("to", r.to.as_deref())
-                .unless("except", r.except, false, |_| "yes".into());
-            out += &format!("    {}/>\n", tag.0);
-        }
-        if let Some(s) = &p.sticky {
-            let tag = Tag::new("sticky")
-                .maybe("cookie", s.cookie.as_deref())
-                .maybe("path", s.path.as_deref())
-                .unless("strict", s.strict, false, |_| "yes".into());
-            out += &format!("    {}/>\n", tag.0);
-        }
-        for w in &p.workers {
-            let tag = Tag::new("worker")
-                .put("id", &w.id)
-                .put("addr", &w.addr)
-                .unless("weight", w.weight, 1.0, number)
-                .unless("state", w.state, State::Live, |s| word(STATES, s))
-                .unless("role", w.role, Role::Active, |r| word(ROLES, r))
-                .unless("set", w.set, 0, |n| n.to_string())
-                .maybe("route", w.route.as_deref())
-                .maybe("redirect", w.redirect.as_deref())
-                .unless("most", w.most, None, |n| n.unwrap_or(0).to_string());
-            out += &format!("    {}/>\n", tag.0);
-        }
-        out += "  </pool>\n";
-    }
-    out + "</postusher>\n"
+fn millis(value: f64) -> String {
+    format!("{}ms", number(value))
 }
--- a/crates/import/tests/replay.rs
+++ b/crates/import/tests/replay.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_corpus_holds_for_both() {
+fn corpus_is_imported_or_rejected_with_a_place() {
     for text in corpus() {
         replay::apache(&text);
         replay::mod_jk(&text);
@@ -21,7 +21,7 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn lines_of_the_corpus_in_any_order_hold(picks in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), 0u8..9), 1..25)) {
+    fn shuffled_corpus_lines_are_imported_or_rejected_with_a_place(picks in prop::collection::vec((any::<prop::sample::Index>(), any::<prop::sample::Index>(), 0u8..9), 1..25)) {
         let lines: Vec<String> = corpus().iter().flat_map(|t| t.lines().map(String::from).collect::<Vec<_>>()).collect();
         let mut text = String::new();
         for (line, cut, how) in picks {
--- a/crates/import/tests/samples.rs
+++ b/crates/import/tests/samples.rs
@@ -2,7 +2,7 @@
 //! meant.
 
 use postusher_import::files::{Disk, Files, InMemory};
-use postusher_import::{apache, mod_jk, Ajp, Imported, Unreadable};
+use postusher_import::{apache, mod_jk, Ajp, ImportError, Imported};
 use std::path::{Path, PathBuf};
 
 mod common;
@@ -32,7 +32,7 @@
     ajp
 }
 
-fn import(folder: &Path) -> Result<Imported, Unreadable> {
+fn import(folder: &Path) -> Result<Imported, ImportError> {
     let files = files(folder);
     let ajp = ajp(&files);
     match files.0.contains_key("httpd.conf") {
@@ -57,14 +57,14 @@
                 assert_eq!(read.pools, imported.pools, "{name}");
                 format!("{setup}\n{}", imported.account)
             }
-            Err(unreadable) => format!("unreadable: {unreadable}\n"),
+            Err(error) => format!("unreadable: {error}\n"),
         };
         insta::assert_snapshot!(name, said);
     }
 }
 
 #[test]
-fn no_worker_that_was_disabled_comes_across_as_live() {
+fn disabled_workers_are_not_imported_as_live() {
     let all = |name: &str| {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("samples").join(name);
         let pools = import(&folder).unwrap().pools;
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_disk_is_read_like_the_files_in_memory() {
+fn files_on_disk_import_like_files_in_memory() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("samples/apache-includes");
     let name = folder.join("httpd.conf").to_string_lossy().into_owned();
     let imported = apache::import(&[name], &Disk, &Ajp::default()).unwrap();
