--- /dev/null
+++ b/crates/testbed/src/cli.rs
@@ -0,0 +1,237 @@
+//! The command line.
+
+use crate::plan::Plan;
+use crate::runner::{self, Options};
+use crate::scenario::Scenario;
+use crate::{report, rules, soak};
+use anyhow::{ensure, Context, Result};
+use clap::{Args, Parser, Subcommand};
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+use thiserror::Error;
+use tokio::runtime::{Builder, Runtime};
+use tracing_subscriber::EnvFilter;
+
+/// Exit code where a rule was broken.
+const RULE_BROKEN: u8 = 1;
+/// Exit code where the test bed itself failed.
+const FAILED: u8 = 2;
+/// Steps of a progress bar.
+const PROGRESS_STEPS: u64 = 1000;
+
+/// A test bed for postusher: everything around it is played, on loopback addresses.
+#[derive(Parser)]
+#[command(name = "postusher-testbed", version)]
+struct Cli {
+    #[command(subcommand)]
+    command: Command,
+}
+
+#[derive(Subcommand)]
+enum Command {
+    /// Play a scenario; exits with 1 where a rule was broken.
+    Run(RunArgs),
+    /// Play scenarios drawn from seeds, one after another; exits with 1 where a rule was broken.
+    Soak(SoakArgs),
+    /// Show two runs side by side.
+    Compare {
+        /// The folder of one.
+        a: PathBuf,
+        /// And of the other.
+        b: PathBuf,
+        /// Where the page goes.
+        #[arg(long, default_value = "compare.html")]
+        out: PathBuf,
+    },
+    /// Read scenarios and say what is wrong with them, if anything.
+    Check {
+        /// The scenarios.
+        scenarios: Vec<PathBuf>,
+    },
+}
+
+#[derive(Args)]
+struct RunArgs {
+    /// The scenario, as TOML.
+    scenario: PathBuf,
+    /// Seed of the jobs.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// For how long clients bring jobs, in place of what the scenario says, such as 30s.
+    #[arg(long = "for", value_parser = seconds)]
+    lasts: Option<f64>,
+    /// The load, in place of what the scenario says.
+    #[arg(long)]
+    load: Option<f64>,
+    /// Where the report and the logs go.
+    #[arg(long)]
+    out: PathBuf,
+    /// The program; else the one that was built along with this.
+    #[arg(long)]
+    binary: Option<PathBuf>,
+    /// Leave the jobs out that wait, to see what they cost the others.
+    #[arg(long)]
+    no_waiting: bool,
+}
+
+#[derive(Args)]
+struct SoakArgs {
+    /// The first seed.
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// How many seeds.
+    #[arg(long, default_value_t = 50)]
+    seeds: u64,
+    /// Where the logs go, a folder for each seed.
+    #[arg(long)]
+    out: PathBuf,
+    /// The program; else the one that was built along with this.
+    #[arg(long)]
+    binary: Option<PathBuf>,
+}
+
+/// Whether a command found all rules kept.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Verdict {
+    RulesKept,
+    RulesBroken,
+}
+
+impl Verdict {
+    fn of(is_kept: bool) -> Verdict {
+        if is_kept {
+            Verdict::RulesKept
+        } else {
+            Verdict::RulesBroken
+        }
+    }
+}
+
+/// A length of time on the command line that is none.
+#[derive(Debug, Error)]
+#[error("write seconds, such as 30s")]
+struct SecondsError;
+
+fn seconds(text: &str) -> Result<f64, SecondsError> {
+    match text.strip_suffix('s').unwrap_or(text).parse::<f64>() {
+        Ok(seconds) if seconds > 0.0 && seconds.is_finite() => Ok(seconds),
+        _ => Err(SecondsError),
+    }
+}
+
+/// Runs the command line of this process.
+pub fn main() -> ExitCode {
+    let command = Cli::parse().command;
+    let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| "warn".into());
+    tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr).init();
+    match run_command(command) {
+        Ok(Verdict::RulesKept) => ExitCode::SUCCESS,
+        Ok(Verdict::RulesBroken) => ExitCode::from(RULE_BROKEN),
+        Err(error) => {
+            eprintln!("postusher-testbed: {error:#}");
+            ExitCode::from(FAILED)
+        }
+    }
+}
+
+fn run_command(command: Command) -> Result<Verdict> {
+    match command {
+        Command::Run(args) => run(args),
+        Command::Soak(args) => soak_seeds(args),
+        Command::Compare { a, b, out } => compare(&a, &b, &out),
+        Command::Check { scenarios } => check(&scenarios),
+    }
+}
+
+fn run(args: RunArgs) -> Result<Verdict> {
+    let mut scenario = Scenario::load(&args.scenario)?;
+    scenario.seconds = args.lasts.unwrap_or(scenario.seconds);
+    scenario.load = args.load.unwrap_or(scenario.load);
+    let binary = program(args.binary)?;
+    ensure!(binary.exists(), "{} is not there: build the program first", binary.display());
+    let mut plan = Plan::draw(&scenario, args.seed);
+    if args.no_waiting {
+        let is_immediate = |job: &crate::plan::Job| !job.waits() && !job.backlog;
+        plan = Plan::of(plan.jobs.into_iter().filter(is_immediate).collect());
+    }
+    let bar = ProgressBar::new(PROGRESS_STEPS);
+    bar.set_style(ProgressStyle::with_template("{bar:40} {percent:>3}%  {elapsed}")?);
+    let shown = bar.clone();
+    let progress = move |part: f64| shown.set_position((part * PROGRESS_STEPS as f64) as u64);
+    let options = Options { binary, out: args.out.clone(), seed: args.seed, between: None };
+    let played = runner::play_plan(&scenario, plan.into(), &options, progress);
+    let played = runtime()?.block_on(played)?;
+    bar.finish_and_clear();
+    let report = report::report(&played, args.seed, rules::check(&played))?;
+    report::write(&report, &args.out)?;
+    println!("{}", report.about);
+    for line in report.lines() {
+        println!("{line}");
+    }
+    println!("report: {}", args.out.join("report.html").display());
+    Ok(Verdict::of(report.breaches.is_empty()))
+}
+
+fn soak_seeds(args: SoakArgs) -> Result<Verdict> {
+    let binary = program(args.binary)?;
+    let mut all_kept = true;
+    for seed in args.seed..args.seed + args.seeds {
+        let out = args.out.join(format!("seed-{seed}"));
+        let options = Options { binary: binary.clone(), out, seed, between: None };
+        let scenario = soak::draw(seed);
+        let played = runtime()?.block_on(runner::play(&scenario, &options, |_| {}))?;
+        let breaches = soak::breaches(&played, &options.out)?;
+        println!("{}: {}", scenario.about, soak::summary(&played));
+        for breach in &breaches {
+            println!("  broken: {breach:?}");
+        }
+        all_kept &= breaches.is_empty();
+    }
+    Ok(Verdict::of(all_kept))
+}
+
+fn compare(a: &Path, b: &Path, out: &Path) -> Result<Verdict> {
+    let reports = [report::read(a)?, report::read(b)?];
+    let names = [folder_name(a), folder_name(b)];
+    for (name, report) in names.iter().zip(&reports) {
+        println!("{name}: {}", report.about);
+        for line in report.lines() {
+            println!("  {line}");
+        }
+    }
+    let page = report::render(&[(&names[0], &reports[0]), (&names[1], &reports[1])])?;
+    std::fs::write(out, page).with_context(|| format!("{}", out.display()))?;
+    println!("page: {}", out.display());
+    Ok(Verdict::RulesKept)
+}
+
+fn check(scenarios: &[PathBuf]) -> Result<Verdict> {
+    for path in scenarios {
+        let scenario = Scenario::load(path)?;
+        let capacity = scenario.capacity();
+        let rate = scenario.load * capacity;
+        println!("{}: good; {rate:.0} jobs a second of {capacity:.0}", path.display());
+    }
+    Ok(Verdict::RulesKept)
+}
+
+/// The program that is named, or else the one that was built along with this.
+fn program(named: Option<PathBuf>) -> Result<PathBuf> {
+    match named {
+        Some(path) => Ok(path),
+        None => runner::built_program("postusher"),
+    }
+}
+
+fn folder_name(folder: &Path) -> String {
+    match folder.file_name() {
+        Some(name) => name.to_string_lossy().into_owned(),
+        None => folder.display().to_string(),
+    }
+}
+
+fn runtime() -> Result<Runtime> {
+    Ok(Builder::new_multi_thread().enable_all().build()?)
+}
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,10 +1,10 @@
 //! Faults of a scenario, each at its time.
 
-use crate::bench::Stage;
 use crate::discovery::Manners;
 use crate::journal::Seen;
 use crate::relay::Weather;
 use crate::scenario::{Fault, Kind};
+use crate::stage::Stage;
 use crate::workers::name;
 use anyhow::{Context, Result};
 use std::sync::Arc;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,10 +1,9 @@
-//! A laboratory for postusher, on loopback addresses alone: stand-in workers, discovery and clients around the real
-//! program, faults from a script, a checker that knows only what the peers saw, and reports.
+//! A test bed for postusher, on loopback addresses alone: stand-in workers, discovery and clients around the real
+//! program, faults from a scenario, rules that are checked against what the stand-ins saw, and reports.
 //!
-//! It shares no code with the program for what the peers do, so that a mistake made twice cannot hide.
-#![forbid(unsafe_code)]
+//! It shares no code with the program for what the stand-ins do, so that a mistake made twice cannot hide.
 
-pub mod bench;
+pub mod cli;
 pub mod clients;
 pub mod detectors;
 pub mod direct;
@@ -16,9 +15,13 @@
 pub mod relay;
 pub mod report;
 pub mod rules;
+pub mod runner;
 pub mod scenario;
 pub mod schedulers;
 pub mod soak;
+pub mod stage;
+#[cfg(test)]
+mod test_scenario;
 pub mod virtual_net;
 pub mod wire;
 pub mod workers;
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -1,6 +1,9 @@
 //! A worker's inside, without sockets or clock: slots, a queue served in order, jobs that share nothing, and a start
 //! from cold.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::VecDeque;
 
 /// A job at a worker.
@@ -136,65 +139,3 @@
         self.running.iter().chain(&self.queue).any(|w| w.id == id)
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn work(id: &str, slots: u32, left: f64) -> Work {
-        Work { id: id.into(), slots, left }
-    }
-
-    #[test]
-    fn jobs_begin_in_order_and_a_cold_machine_is_slower() {
-        let mut m = Machine::new(2, 2, 2.0, 0.5, 1_000.0);
-        assert_eq!(m.bring(work("a", 1, 100.0)), Taken::Yes);
-        assert_eq!(m.bring(work("a", 1, 100.0)), Taken::Twice);
-        m.advance(0.0);
-        m.bring(work("b", 2, 100.0));
-        m.bring(work("c", 1, 100.0));
-        assert_eq!(m.bring(work("d", 1, 1.0)), Taken::Full);
-        // b does not fit, and c does not pass it.
-        assert_eq!(m.advance(10.0), (vec![], vec![]));
-        assert_eq!((m.free(), m.jobs()), (0, (3, 2)));
-        assert_eq!(m.advance(50.0), (vec!["b".into()], vec!["a".into()]));
-        assert_eq!(m.crash(100.0), ["b", "c"]);
-        m.bring(work("e", 4, 100.0)); // larger than the machine: alone
-        m.advance(100.0);
-        assert_eq!(m.advance(150.0).1, Vec::<String>::new());
-        assert!((m.warmth(150.0) - 0.525).abs() < 1e-9);
-        assert_eq!(m.advance(199.0).1, ["e"]);
-    }
-
-    proptest! {
-        #[test]
-        fn nothing_is_lost_or_done_twice(steps in prop::collection::vec((0u8..4, 1u32..4, 1u32..80), 1..120)) {
-            let mut m = Machine::new(4, 8, 1.0, 0.4, 500.0);
-            let (mut now, mut here, mut n) = (0.0, std::collections::BTreeSet::new(), 0);
-            for (what, slots, time) in steps {
-                match what {
-                    0 | 1 => {
-                        n += 1;
-                        if m.bring(work(&n.to_string(), slots, time.into())) == Taken::Yes {
-                            here.insert(n.to_string());
-                        }
-                    }
-                    2 => {
-                        now += f64::from(time);
-                        for id in m.advance(now).1 {
-                            prop_assert!(here.remove(&id), "{id} is done, yet was not here");
-                        }
-                    }
-                    _ => {
-                        let lost: std::collections::BTreeSet<_> = m.crash(now).into_iter().collect();
-                        prop_assert_eq!(&lost, &here);
-                        here.clear();
-                    }
-                }
-                prop_assert_eq!(m.jobs().0, here.len());
-                prop_assert!(m.in_use() <= 4 && m.jobs().1 <= 8);
-            }
-        }
-    }
-}
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -2,6 +2,9 @@
 //! be cut, be lossy, slow, double and reorder; datagrams and connections alike. A process has two addresses, its own and the
 //! one by which others know it; the latter is the relay's.
 
+#[cfg(test)]
+mod tests;
+
 use anyhow::{Context, Result};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -203,66 +206,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test]
-    async fn each_ordered_pair_is_a_link_of_its_own_for_datagrams_and_connections() {
-        let relay = Relay::start(2, 1).await.unwrap();
-        let a = UdpSocket::bind(relay.own[0]).await.unwrap();
-        let b = UdpSocket::bind(relay.own[1]).await.unwrap();
-        let mut bytes = [0; 16];
-        a.send_to(b"one", relay.known[1]).await.unwrap();
-        let (n, source) = b.recv_from(&mut bytes).await.unwrap();
-        assert_eq!((&bytes[..n], source), (&b"one"[..], relay.known[0]), "it comes from where a is known");
-        relay.cut(&[0], &[1], true);
-        a.send_to(b"lost", relay.known[1]).await.unwrap();
-        b.send_to(b"back", source).await.unwrap();
-        let (n, _) = a.recv_from(&mut bytes).await.unwrap();
-        assert_eq!(&bytes[..n], b"back", "the way back is whole");
-        relay.cut(&[0], &[1], false);
-        a.send_to(b"two", relay.known[1]).await.unwrap();
-        let (n, _) = b.recv_from(&mut bytes).await.unwrap();
-        assert_eq!(&bytes[..n], b"two", "what was sent over the cut link is lost for good");
-
-        let listener = TcpListener::bind(relay.own[1]).await.unwrap();
-        let socket = TcpSocket::new_v4().unwrap();
-        socket.bind(SocketAddr::from((relay.own[0].ip(), 0))).unwrap();
-        let mut here = socket.connect(relay.known[1]).await.unwrap();
-        here.write_all(b"state").await.unwrap();
-        let (mut there, source) = listener.accept().await.unwrap();
-        let n = there.read(&mut bytes).await.unwrap();
-        assert_eq!((&bytes[..n], source.ip()), (&b"state"[..], relay.known[0].ip()));
-        relay.reset(&[0], &[1], true);
-        let socket = TcpSocket::new_v4().unwrap();
-        socket.bind(SocketAddr::from((relay.own[0].ip(), 0))).unwrap();
-        let mut here = socket.connect(relay.known[1]).await.unwrap();
-        assert!(here.read(&mut bytes).await.is_err(), "reset, not ended");
-    }
-
-    #[tokio::test]
-    async fn weather_loses_and_doubles_by_its_seed() {
-        let relay = Relay::start(2, 7).await.unwrap();
-        relay.weather(Weather { loss: 0.3, twice: 0.2, delay_ms: 5.0, limit: 0 });
-        let fates: Vec<usize> = (0..2_000).map(|_| relay.fate(0, 1).len()).collect();
-        let part = |n: usize| fates.iter().filter(|f| **f == n).count() as f64 / 2_000.0;
-        relay.weather(Weather { limit: 3, ..Weather::default() });
-        let carried: usize = (0..100).map(|_| relay.fate(1, 0).len()).sum();
-        assert!((3..=6).contains(&carried), "three in each second that it took: {carried}");
-        relay.weather(Weather { loss: 0.3, ..Weather::default() });
-        let again =
-            (0..2_000).map(|_| relay.lag().as_secs_f64() * 1e3 / SENT_AGAIN_MS).sum::<f64>() / 2_000.0;
-        assert!(
-            (again - 0.3 / 0.7).abs() < 0.06,
-            "sent again {again:.2} times for each piece of a connection"
-        );
-        relay.weather(Weather { delay_ms: 10.0, ..Weather::default() });
-        assert!((0..100).all(|_| relay.lag() <= Duration::from_millis(10)));
-        assert!((0..100).any(|_| relay.lag() >= Duration::from_millis(5)));
-        relay.weather(Weather::default());
-        assert_eq!(relay.lag(), Duration::ZERO);
-        assert!((part(0) - 0.3).abs() < 0.04 && (part(2) - 0.14).abs() < 0.04, "{} {}", part(0), part(2));
-    }
-}
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,8 +1,8 @@
 //! What a run shows: figures, plots and broken rules, as JSON and as a page that needs nothing else.
 
-use crate::bench::Run;
 use crate::journal::Seen;
 use crate::rules::{Breach, World};
+use crate::runner::Run;
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
 use plotters::prelude::*;
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,8 +1,8 @@
 //! The rules, held against what the peers have seen and nothing else.
 
-use crate::bench::Run;
 use crate::journal::{Entry, Seen};
 use crate::plan::Job;
+use crate::runner::Run;
 use crate::scenario::{Effect, WINDOW_MS};
 use crate::schedulers::BESIDES_MS;
 use serde::{Deserialize, Serialize};
--- a/crates/testbed/src/rules/members.rs
+++ b/crates/testbed/src/rules/members.rs
@@ -1,8 +1,8 @@
 //! Membership: who found whom to be gone, and whether all agree in the end.
 
 use super::Rule;
-use crate::bench::Run;
 use crate::journal::{Entry, Seen};
+use crate::runner::Run;
 use crate::scenario::{Fault, Kind};
 
 /// Membership, by what the schedulers show of it. Only order counts: which views there were, not when.
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn run(effect: Effect, jobs: Vec<Job>, entries: Vec<(f64, Seen)>) -> Run {
-    let mut scenario = Scenario::read(crate::bench::tests::SMALL).unwrap();
+    let mut scenario = Scenario::read(crate::test_scenario::SMALL).unwrap();
     scenario.class[0].effect = effect;
     let entries = entries.into_iter().map(|(at, seen)| Entry { at, seen }).collect();
     Run { scenario, plan: Arc::new(Plan::of(jobs)), entries }
--- /dev/null
+++ b/crates/testbed/src/runner.rs
@@ -0,0 +1,196 @@
+//! Plays a run: starts all parties, plays the plan and the faults, and stops everything.
+
+use crate::clients::Clients;
+use crate::discovery::Discovery;
+use crate::faults;
+use crate::journal::{Entry, Journal, Seen};
+use crate::plan::{Job, Plan};
+use crate::relay::Relay;
+use crate::scenario::Scenario;
+use crate::schedulers::{free_address, Place, Scheduler};
+use crate::stage::Stage;
+use crate::workers::Worker;
+use anyhow::Result;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::Mutex;
+use tokio::task::JoinSet;
+
+/// Between two looks of the test bed at its own pace.
+const HEARTBEAT: Duration = Duration::from_millis(10);
+/// The test bed has stalled where a heartbeat is so much late, in milliseconds.
+const STALL_MS: f64 = 25.0;
+/// Between two readings of the schedulers' figures.
+const FIGURES_EVERY: Duration = Duration::from_millis(250);
+/// Time for the schedulers to get their first endpoint list.
+const FIRST_LIST: Duration = Duration::from_millis(300);
+
+/// The result of a run.
+pub struct Run {
+    /// What was played.
+    pub scenario: Scenario,
+    /// The jobs, with times since the start of the journal.
+    pub plan: Arc<Plan>,
+    /// What was seen.
+    pub entries: Vec<Entry>,
+}
+
+/// How a run is played.
+pub struct Options {
+    /// The program.
+    pub binary: PathBuf,
+    /// Where logs go.
+    pub out: PathBuf,
+    /// Seed of the jobs.
+    pub seed: u64,
+    /// Something between clients and a scheduler: maps the scheduler's address to the one that clients use.
+    pub between: Option<fn(SocketAddr) -> SocketAddr>,
+}
+
+/// The path of a program that was built along with this one.
+///
+/// # Errors
+/// This program's own path is not known.
+pub fn built_program(name: &str) -> Result<PathBuf> {
+    let own = std::env::current_exe()?;
+    let folder = own.parent().unwrap_or(Path::new("."));
+    // Test programs lie a folder below.
+    let folder = if folder.ends_with("deps") { folder.parent().unwrap_or(folder) } else { folder };
+    Ok(folder.join(name))
+}
+
+/// Plays a run with jobs that are drawn from the seed.
+///
+/// # Errors
+/// The test bed itself failed; what the program does wrong is no error here.
+pub async fn play(
+    scenario: &Scenario,
+    options: &Options,
+    progress: impl Fn(f64) + Send + 'static,
+) -> Result<Run> {
+    let plan = Arc::new(Plan::draw(scenario, options.seed));
+    play_plan(scenario, plan, options, progress).await
+}
+
+/// Plays a run with these jobs; `progress` is called with the part of the time that has passed.
+///
+/// # Errors
+/// As [`play`].
+pub async fn play_plan(
+    scenario: &Scenario,
+    plan: Arc<Plan>,
+    options: &Options,
+    progress: impl Fn(f64) + Send + 'static,
+) -> Result<Run> {
+    let mut places = Vec::new();
+    for _ in 0..scenario.schedulers {
+        places.push(Place { listen: free_address()?, mgmt: free_address()? });
+    }
+    let stage = Arc::new(start(scenario, plan.clone(), options, &places).await?);
+    tokio::time::sleep(FIRST_LIST).await;
+    // The times of the plan count from here.
+    let journal = stage.journal.clone();
+    let begun = journal.now();
+    let plan = Arc::new(Plan::of(plan.jobs.iter().map(|job| delayed(job, begun)).collect()));
+    let mut faults = stage.scenario.fault.clone();
+    for fault in &mut faults {
+        fault.at_s += begun / 1e3;
+    }
+    let mut client_addresses = Vec::new();
+    for place in &places {
+        client_addresses.push(match options.between {
+            Some(between) => between(place.listen),
+            None => place.listen,
+        });
+    }
+    let clients = Clients::new(&stage.scenario, client_addresses, journal.clone());
+    let heartbeat = tokio::spawn(watch_own_pace(journal.clone()));
+    let figures = tokio::spawn(note_figures(stage.clone(), begun, progress));
+    let (_, played) = tokio::join!(clients.run(plan.clone()), faults::play(stage.clone(), faults));
+    figures.abort();
+    heartbeat.abort();
+    played?;
+    terminate_all(&stage).await?;
+    Ok(Run { scenario: stage.scenario.clone(), plan, entries: journal.entries() })
+}
+
+/// Starts all parties but the clients.
+async fn start(scenario: &Scenario, plan: Arc<Plan>, options: &Options, places: &[Place]) -> Result<Stage> {
+    let journal = Journal::default();
+    let listens: Vec<SocketAddr> = places.iter().map(|place| place.listen).collect();
+    let mut workers = Vec::new();
+    for number in 0..scenario.fleet.workers {
+        let worker = Worker::start(number, scenario, listens.clone(), plan.clone(), journal.clone());
+        workers.push(worker.await?);
+    }
+    let addrs = workers.iter().map(|worker| worker.addrs.clone()).collect();
+    let discovery = Discovery::start(addrs, &scenario.fleet, scenario.schedulers, journal.clone()).await?;
+    let relay = match &scenario.members {
+        Some(_) => Some(Relay::start(scenario.schedulers, options.seed).await?),
+        None => None,
+    };
+    let mut schedulers = Vec::new();
+    for (number, place) in places.iter().enumerate() {
+        let addr = discovery.addrs[number];
+        let scheduler = Scheduler::new(number, &options.binary, *place, addr, &options.out, journal.clone())?;
+        let mut scheduler = scheduler.knowing(&discovery.told(number, None).0)?;
+        if let (Some(members), Some(relay)) = (&scenario.members, &relay) {
+            scheduler = scheduler.with_members(members, relay);
+        }
+        scheduler.start(scenario).await?;
+        schedulers.push(Mutex::new(scheduler));
+    }
+    Ok(Stage { scenario: scenario.clone(), workers, discovery, schedulers, relay, journal })
+}
+
+/// Writes the schedulers' figures down until it is aborted.
+async fn note_figures(stage: Arc<Stage>, begun: f64, progress: impl Fn(f64)) {
+    loop {
+        for scheduler in &stage.schedulers {
+            // One that is being restarted is left alone.
+            if let Ok(mut scheduler) = scheduler.try_lock() {
+                scheduler.note_figures().await;
+                scheduler.note_view(stage.schedulers.len()).await;
+            }
+        }
+        let passed_s = (stage.journal.now() - begun) / 1e3;
+        progress((passed_s / stage.scenario.seconds).min(1.0));
+        tokio::time::sleep(FIGURES_EVERY).await;
+    }
+}
+
+async fn terminate_all(stage: &Arc<Stage>) -> Result<()> {
+    let mut ends = JoinSet::new();
+    for number in 0..stage.schedulers.len() {
+        let stage = stage.clone();
+        ends.spawn(async move { stage.schedulers[number].lock().await.terminate().await });
+    }
+    while let Some(ended) = ends.join_next().await {
+        ended??;
+    }
+    Ok(())
+}
+
+/// Writes down when the test bed itself stalls, until it is aborted.
+async fn watch_own_pace(journal: Journal) {
+    let mut last = journal.now();
+    loop {
+        tokio::time::sleep(HEARTBEAT).await;
+        let now = journal.now();
+        let late_ms = now - last - HEARTBEAT.as_secs_f64() * 1e3;
+        if late_ms > STALL_MS {
+            journal.write(Seen::Stalled { ms: late_ms });
+        }
+        last = now;
+    }
+}
+
+/// A job with its times later by so many milliseconds.
+fn delayed(job: &Job, millis: f64) -> Job {
+    let mut job = job.clone();
+    job.at += millis;
+    job.start = job.start.map(|start| start + millis);
+    job
+}
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,9 +1,9 @@
 //! A soak: scenarios drawn from a seed, with 10 to 16 schedulers as processes of their own and faults that overlap in time.
 //! The rules are its oracle.
 
-use crate::bench::Run;
 use crate::journal::Seen;
 use crate::rules;
+use crate::runner::Run;
 use crate::scenario::{Class, Effect, Fault, Fleet, Kind, Scenario, Waiting};
 use anyhow::Result;
 use rand::seq::IndexedRandom;
--- a/crates/testbed/tests/direct.rs
+++ b/crates/testbed/tests/direct.rs
@@ -4,8 +4,8 @@
 use postusher_import::files::Disk;
 use postusher_import::{apache, mod_jk, Ajp};
 use postusher_setup::{Pool, Role, State, Worker};
-use postusher_testbed::bench::beside;
 use postusher_testbed::direct::{Client, Manner, Standin};
+use postusher_testbed::runner::built_program;
 use postusher_testbed::schedulers::{ask, free_address, resident_kib};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -29,7 +29,7 @@
 
     /// With these attributes of the whole.
     async fn start_with(name: &str, pools: &[Pool], attributes: &str) -> Scheduler {
-        let binary = beside("postusher").unwrap();
+        let binary = built_program("postusher").unwrap();
         assert!(binary.exists(), "build the program first: cargo build -p postusher-node");
         let setup = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.xml"));
         let text = postusher_import::write::setup(pools);
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,10 +1,10 @@
 //! The real program in the laboratory, in short seeded runs; and faults planted between it and its clients, which the
 //! checker must find. Needs the program to be built: `cargo test --workspace` does that.
 
-use postusher_testbed::bench::{beside, play, Options, Run};
 use postusher_testbed::journal::{Entry, Seen};
 use postusher_testbed::report::report;
 use postusher_testbed::rules::{check, Rule};
+use postusher_testbed::runner::{built_program, play, Options, Run};
 use postusher_testbed::scenario::Scenario;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
 }
 
 fn run(name: &str, scenario: &Scenario, between: Option<fn(SocketAddr) -> SocketAddr>) -> Run {
-    let binary = beside("postusher").unwrap();
+    let binary = built_program("postusher").unwrap();
     assert!(binary.exists(), "build the program first: cargo build -p postusher-node");
     let options = Options { binary, out: out(name), seed: 1, between };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build().unwrap();
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,12 +1,12 @@
 //! The soak in short: a few seeds, each with faults of its own that overlap. By hand: `postusher-testbed soak --seeds 50`.
 
-use postusher_testbed::bench::{beside, play, Options};
+use postusher_testbed::runner::{built_program, play, Options};
 use postusher_testbed::soak;
 use std::path::Path;
 
 /// Plays the scenario of a seed; no rule may be broken, by what the peers saw and by the schedulers' own logs.
 fn keeps_all_rules(seed: u64) {
-    let binary = beside("postusher").unwrap();
+    let binary = built_program("postusher").unwrap();
     assert!(binary.exists(), "build the program first: cargo build -p postusher-node");
     let out = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     let options = Options { binary, out, seed, between: None };
