--- a/crates/testbed/examples/direct.rs
+++ b/crates/testbed/examples/direct.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
-use postusher_testbed::direct::{Client, Standin};
+use postusher_testbed::direct::{Client, StandInWorker};
 use postusher_testbed::schedulers::free_address;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -77,9 +77,9 @@
     println!("shares over 20,000 requests: workers with weights 5, 3, 2 that take 1, 5 and 20 ms");
     let mut stand_ins = Vec::new();
     for (n, ms) in [1, 5, 20].into_iter().enumerate() {
-        stand_ins.push(Standin::start(&format!("w{n}"), Duration::from_millis(ms)).await?);
+        stand_ins.push(StandInWorker::start(&format!("w{n}"), Duration::from_millis(ms)).await?);
     }
-    let worker = |(s, weight): (&Standin, u32)| {
+    let worker = |(s, weight): (&StandInWorker, u32)| {
         format!("<worker id=\"{}\" addr=\"{}\" weight=\"{weight}\" most=\"400\"/>", s.name, s.addr)
     };
     let workers: String = stand_ins.iter().zip([5, 3, 2]).map(worker).collect();
@@ -93,7 +93,7 @@
         );
     }
     println!("what it adds, 20,000 requests each, in turns of 4,000:");
-    let alone = Standin::start("alone", Duration::ZERO).await?;
+    let alone = StandInWorker::start("alone", Duration::ZERO).await?;
     let (one, addr) =
         start(&program, &format!("<worker id=\"a\" addr=\"{}\" most=\"400\"/>", alone.addr)).await?;
     for connections in [1, 16] {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,7 +1,7 @@
 //! Stand-in clients: open-loop, so that a slow scheduler gets no less to do; they keep their connections and read on
 //! after each answer for what should not be there.
 
-use crate::journal::{Journal, Seen};
+use crate::journal::{Journal, Observation};
 use crate::plan::{Job, Plan};
 use crate::scenario::{Effect, Scenario};
 use crate::wire::{self, Wire};
@@ -72,7 +72,7 @@
                     Ok(stream) => wire = Some(Wire::new(stream)),
                     Err(_) => {
                         let unheard = kept && !again;
-                        return self.journal.write(Seen::Broken { job: id(), scheduler, unheard });
+                        return self.journal.write(Observation::Broken { job: id(), scheduler, unheard });
                     }
                 }
             }
@@ -81,32 +81,34 @@
                 if again {
                     continue;
                 }
-                return self.journal.write(Seen::Broken { job: id(), scheduler, unheard: false });
+                return self.journal.write(Observation::Broken { job: id(), scheduler, unheard: false });
             }
             let sent = self.journal.now();
-            self.journal.write(Seen::Sent { job: id() });
+            self.journal.write(Observation::Sent { job: id() });
             let limit = job.leaves.unwrap_or(job.patience + LISTENS_ON);
             let answer = tokio::time::timeout(Duration::from_secs_f64(limit / 1e3), w.message()).await;
             match answer {
-                Err(_) if job.leaves.is_some() => return self.journal.write(Seen::Left { job: id() }),
-                Err(_) => return self.journal.write(Seen::Unanswered { job: id() }),
+                Err(_) if job.leaves.is_some() => return self.journal.write(Observation::Left { job: id() }),
+                Err(_) => return self.journal.write(Observation::Unanswered { job: id() }),
                 Ok(Ok(Some(message))) => {
                     let status = message.status();
                     let own = message.body == result_of(&job.id).as_bytes();
                     let retry_after = message.header("Retry-After").and_then(|v| v.parse().ok());
-                    self.journal.write(Seen::Answered { job: id(), status, own, retry_after });
+                    self.journal.write(Observation::Answered { job: id(), status, own, retry_after });
                     // What should not be there shows at once, if it was sent with the answer.
                     tokio::task::yield_now().await;
                     let bytes = w.surplus();
                     if bytes > 0 {
-                        self.journal.write(Seen::Surplus { scheduler, bytes });
+                        self.journal.write(Observation::Surplus { scheduler, bytes });
                     } else if !message.closes() {
                         self.idle(scheduler).push(w);
                     }
                     return;
                 }
                 Ok(_) if again && self.journal.now() - sent < 50.0 => continue,
-                Ok(_) => return self.journal.write(Seen::Broken { job: id(), scheduler, unheard: false }),
+                Ok(_) => {
+                    return self.journal.write(Observation::Broken { job: id(), scheduler, unheard: false })
+                }
             }
         }
     }
--- a/crates/testbed/src/direct.rs
+++ b/crates/testbed/src/direct.rs
@@ -1,4 +1,4 @@
-//! Stand-in workers that answer requests themselves, and a client for them: what an imported setup is run against.
+//! Stand-in workers of direct pools, which answer HTTP requests themselves, and a client for them.
 
 use crate::wire::{self, Line, Wire};
 use anyhow::{bail, Result};
@@ -7,27 +7,27 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// How a stand-in answers.
+/// What a stand-in does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Manner {
-    /// With 200 and its name.
+pub enum Behavior {
+    /// Answers with 200 and its name.
     #[default]
-    Well,
-    /// With this status.
+    Answer,
+    /// Answers with this status.
     Status(u16),
-    /// It reads the request and breaks off.
-    Breaks,
-    /// It breaks off in the middle of its answer.
-    BreaksInAnswer,
-    /// It reads the request and says nothing.
+    /// Reads the request and closes the connection.
+    Disconnect,
+    /// Closes the connection in the middle of its answer.
+    DisconnectInAnswer,
+    /// Reads the request and sends nothing.
     Silent,
-    /// It takes no connections.
-    Closed,
+    /// Closes each new connection at once.
+    RefuseConnections,
 }
 
-/// A request that came to a stand-in.
+/// A request that a stand-in has received.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Came {
+pub struct ReceivedRequest {
     /// Its method and target.
     pub line: String,
     /// Its headers.
@@ -36,36 +36,39 @@
     pub body: usize,
 }
 
-struct Inside {
-    manner: Manner,
+struct State {
+    behavior: Behavior,
     delay: Duration,
-    came: Vec<Came>,
+    requests: Vec<ReceivedRequest>,
 }
 
 /// A worker that answers requests itself.
 #[derive(Clone)]
-pub struct Standin {
+pub struct StandInWorker {
     /// Its name, which it answers with.
     pub name: String,
     /// Where it listens.
     pub addr: SocketAddr,
-    inside: Arc<Mutex<Inside>>,
+    state: Arc<Mutex<State>>,
 }
 
-impl Standin {
-    /// Starts one on loopback.
+impl StandInWorker {
+    /// Starts one on the loopback interface.
     ///
     /// # Errors
     /// There is no address.
-    pub async fn start(name: &str, delay: Duration) -> Result<Standin> {
+    pub async fn start(name: &str, delay: Duration) -> Result<StandInWorker> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let inside = Inside { manner: Manner::Well, delay, came: Vec::new() };
-        let new =
-            Standin { name: name.into(), addr: listener.local_addr()?, inside: Arc::new(Mutex::new(inside)) };
+        let state = State { behavior: Behavior::Answer, delay, requests: Vec::new() };
+        let new = StandInWorker {
+            name: name.into(),
+            addr: listener.local_addr()?,
+            state: Arc::new(Mutex::new(state)),
+        };
         let served = new.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if served.inside().manner == Manner::Closed {
+                if served.state().behavior == Behavior::RefuseConnections {
                     continue; // it ends here
                 }
                 let one = served.clone();
@@ -75,54 +78,54 @@
         Ok(new)
     }
 
-    fn inside(&self) -> MutexGuard<'_, Inside> {
-        match self.inside.lock() {
-            Ok(inside) => inside,
+    fn state(&self) -> MutexGuard<'_, State> {
+        match self.state.lock() {
+            Ok(state) => state,
             Err(poisoned) => poisoned.into_inner(), // a panic elsewhere; the test fails by that
         }
     }
 
-    /// Changes how it answers.
-    pub fn behave(&self, manner: Manner) {
-        self.inside().manner = manner;
+    /// Changes what it does with requests.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.state().behavior = behavior;
     }
 
-    /// All that came so far; it forgets that.
-    pub fn came(&self) -> Vec<Came> {
-        std::mem::take(&mut self.inside().came)
+    /// The requests since the last call.
+    pub fn take_requests(&self) -> Vec<ReceivedRequest> {
+        std::mem::take(&mut self.state().requests)
     }
 
     async fn serve(&self, mut wire: Wire) {
         while let Ok(Some(message)) = wire.message().await {
             let Line::Request(method, target) = &message.line else { return };
-            let came = Came {
+            let request = ReceivedRequest {
                 line: format!("{method} {target}"),
                 headers: message.headers.clone(),
                 body: message.body.len(),
             };
-            let (manner, delay) = {
-                let mut inside = self.inside();
-                inside.came.push(came);
-                (inside.manner, inside.delay)
+            let (behavior, delay) = {
+                let mut state = self.state();
+                state.requests.push(request);
+                (state.behavior, state.delay)
             };
             if !delay.is_zero() {
                 tokio::time::sleep(delay).await;
             }
             let headers = [("X-Worker", self.name.as_str())];
             let body = if method == "HEAD" { "" } else { self.name.as_str() };
-            let answer = match manner {
-                Manner::Well => wire::answer(200, &headers, body.as_bytes()),
-                Manner::Status(status) => wire::answer(status, &headers, body.as_bytes()),
-                Manner::BreaksInAnswer => {
+            let answer = match behavior {
+                Behavior::Answer => wire::answer(200, &headers, body.as_bytes()),
+                Behavior::Status(status) => wire::answer(status, &headers, body.as_bytes()),
+                Behavior::DisconnectInAnswer => {
                     let whole = wire::answer(200, &headers, &[b'x'; 1000]);
                     let _ = wire.send(&whole[..whole.len() - 500]).await; // it ends either way
                     return;
                 }
-                Manner::Silent => {
+                Behavior::Silent => {
                     wire.closed().await;
                     return;
                 }
-                Manner::Breaks | Manner::Closed => return,
+                Behavior::Disconnect | Behavior::RefuseConnections => return,
             };
             if wire.send(&answer).await.is_err() {
                 return;
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Stand-in discovery: the list of workers, whole or as a watch on changes, for each scheduler with addresses of its
 //! own.
 
-use crate::journal::{Journal, Seen};
+use crate::journal::{Journal, Observation};
 use crate::scenario::Fleet;
 use crate::wire::{self, Line, Wire};
 use crate::workers::name;
@@ -24,10 +24,10 @@
 
 /// How discovery writes its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Manners {
+pub enum ResponseStyle {
     /// Whole.
     #[default]
-    Well,
+    Whole,
     /// Cut off in the middle, and the connection with it.
     Cut,
     /// In pieces, with a rest after each.
@@ -46,7 +46,7 @@
     workers: usize,
     version: watch::Sender<u64>,
     down: watch::Sender<bool>,
-    manners: watch::Sender<Manners>,
+    style: watch::Sender<ResponseStyle>,
     /// Where each scheduler asks.
     pub addrs: Vec<SocketAddr>,
     journal: Journal,
@@ -94,7 +94,7 @@
             workers: count,
             version: watch::channel(1).0,
             down: watch::channel(false).0,
-            manners: watch::channel(Manners::Well).0,
+            style: watch::channel(ResponseStyle::Whole).0,
             addrs,
             journal,
         });
@@ -159,20 +159,20 @@
     }
 
     /// It writes its answers so from now on.
-    pub fn behave(&self, manners: Manners) {
-        self.manners.send_replace(manners);
+    pub fn set_style(&self, style: ResponseStyle) {
+        self.style.send_replace(style);
     }
 
-    /// Writes an answer as its manners are now; says whether the connection goes on.
+    /// Writes an answer in the present style; says whether the connection goes on.
     async fn write(&self, wire: &mut Wire, answer: &[u8]) -> bool {
-        let manners = *self.manners.borrow();
-        match manners {
-            Manners::Well => wire.send(answer).await.is_ok(),
-            Manners::Cut => {
+        let style = *self.style.borrow();
+        match style {
+            ResponseStyle::Whole => wire.send(answer).await.is_ok(),
+            ResponseStyle::Cut => {
                 let _ = wire.send(&answer[..answer.len() / 2]).await; // it ends here in any case
                 false
             }
-            Manners::Slow => {
+            ResponseStyle::Slow => {
                 for piece in answer.chunks(answer.len().div_ceil(PIECES)) {
                     if wire.send(piece).await.is_err() {
                         return false;
@@ -202,7 +202,7 @@
             let (body, told) = self.told(scheduler, after);
             // Told once it is written, whether or not it arrives whole: from then on the time for drains counts.
             for (worker, drains) in told {
-                self.journal.write(Seen::Told { worker, scheduler, drains });
+                self.journal.write(Observation::Told { worker, scheduler, drains });
             }
             if !self.write(&mut wire, &wire::answer(200, &[], body.as_bytes())).await {
                 return;
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,9 +1,9 @@
 //! Faults of a scenario, each at its time.
 
-use crate::discovery::Manners;
-use crate::journal::Seen;
-use crate::relay::Weather;
-use crate::scenario::{Fault, Kind};
+use crate::discovery::ResponseStyle;
+use crate::journal::Observation;
+use crate::relay::LinkConditions;
+use crate::scenario::{Fault, FaultKind};
 use crate::stage::Stage;
 use crate::workers::name;
 use anyhow::{Context, Result};
@@ -28,7 +28,7 @@
             tokio::time::sleep_until(stage.journal.moment(fault.at_s * 1e3).into()).await;
             let what = format!("{:?} {:?}", fault.kind, fault.who).to_lowercase();
             tracing::info!(at_s = fault.at_s, "{what}");
-            stage.journal.write(Seen::Fault { what: what.clone() });
+            stage.journal.write(Observation::Fault { what: what.clone() });
             one(&stage, &fault).await.with_context(|| format!("{what} at {} s", fault.at_s))
         });
     }
@@ -55,7 +55,7 @@
     let lasts = Duration::from_secs_f64(fault.for_s);
     let workers = || fault.who.iter().filter_map(|n| stage.workers.get(*n));
     match fault.kind {
-        Kind::Crash => {
+        FaultKind::Crash => {
             workers().for_each(|w| w.die());
             tokio::time::sleep(lasts).await;
             for w in workers() {
@@ -63,12 +63,12 @@
                 stage.discovery.started(w.number);
             }
         }
-        Kind::Drain => {
+        FaultKind::Drain => {
             fault.who.iter().for_each(|n| stage.discovery.drain(*n, true));
             tokio::time::sleep(lasts).await;
             fault.who.iter().for_each(|n| stage.discovery.drain(*n, false));
         }
-        Kind::Maint => {
+        FaultKind::Maint => {
             for n in &fault.who {
                 stage.call_all(&format!("PUT /workers/{}/maint", name(*n))).await;
             }
@@ -77,44 +77,50 @@
                 stage.call_all(&format!("PUT /workers/{}/ready", name(*n))).await;
             }
         }
-        Kind::CutLists | Kind::SlowLists => {
-            let manners = if fault.kind == Kind::CutLists { Manners::Cut } else { Manners::Slow };
-            stage.discovery.behave(manners);
+        FaultKind::CutLists | FaultKind::SlowLists => {
+            let style =
+                if fault.kind == FaultKind::CutLists { ResponseStyle::Cut } else { ResponseStyle::Slow };
+            stage.discovery.set_style(style);
             tokio::time::sleep(lasts).await;
-            stage.discovery.behave(Manners::Well);
+            stage.discovery.set_style(ResponseStyle::Whole);
         }
-        Kind::Crowd => crowd(stage, fault, lasts).await,
-        Kind::Replace => stage.discovery.replace_listed(),
-        Kind::Discovery => {
+        FaultKind::Crowd => crowd(stage, fault, lasts).await,
+        FaultKind::Replace => stage.discovery.replace_listed(),
+        FaultKind::Discovery => {
             stage.discovery.set_down(true);
             tokio::time::sleep(lasts).await;
             stage.discovery.set_down(false);
         }
-        Kind::Cut => {
+        FaultKind::Cut => {
             let Some(relay) = &stage.relay else { return Ok(()) };
             relay.cut(&fault.who, &fault.to, true);
             tokio::time::sleep(lasts).await;
             relay.cut(&fault.who, &fault.to, false);
         }
-        Kind::Reset => {
+        FaultKind::Reset => {
             let Some(relay) = &stage.relay else { return Ok(()) };
             relay.reset(&fault.who, &fault.to, true);
             tokio::time::sleep(lasts).await;
             relay.reset(&fault.who, &fault.to, false);
         }
-        Kind::Limit => {
+        FaultKind::Limit => {
             let Some(relay) = &stage.relay else { return Ok(()) };
-            relay.weather(Weather { limit: fault.factor as u32, ..Weather::default() });
+            relay.set_conditions(LinkConditions { limit: fault.factor as u32, ..LinkConditions::default() });
             tokio::time::sleep(lasts).await;
-            relay.weather(Weather::default());
+            relay.set_conditions(LinkConditions::default());
         }
-        Kind::Weather => {
+        FaultKind::Weather => {
             let Some(relay) = &stage.relay else { return Ok(()) };
-            relay.weather(Weather { loss: fault.factor, twice: 0.1, delay_ms: WEATHER_DELAY_MS, limit: 0 });
+            relay.set_conditions(LinkConditions {
+                loss: fault.factor,
+                twice: 0.1,
+                delay_ms: WEATHER_DELAY_MS,
+                limit: 0,
+            });
             tokio::time::sleep(lasts).await;
-            relay.weather(Weather::default());
+            relay.set_conditions(LinkConditions::default());
         }
-        Kind::Throttle => {
+        FaultKind::Throttle => {
             for n in &fault.who {
                 let Some(scheduler) = stage.schedulers.get(*n) else { continue };
                 let scheduler = scheduler.lock().await;
@@ -127,7 +133,7 @@
                 }
             }
         }
-        Kind::Down | Kind::Pause => {
+        FaultKind::Down | FaultKind::Pause => {
             // Nobody else asks one that is down or stopped for anything.
             let mut these = Vec::new();
             for n in &fault.who {
@@ -137,32 +143,37 @@
             }
             for scheduler in &mut these {
                 match fault.kind {
-                    Kind::Down => scheduler.down().await?,
+                    FaultKind::Down => scheduler.down().await?,
                     _ => scheduler.pause(true)?,
                 }
             }
             tokio::time::sleep(lasts).await;
             for scheduler in &mut these {
                 match fault.kind {
-                    Kind::Down => scheduler.start(&stage.scenario).await?,
+                    FaultKind::Down => scheduler.start(&stage.scenario).await?,
                     _ => scheduler.pause(false)?,
                 }
             }
         }
-        Kind::Kill | Kind::Term | Kind::TermThenKill | Kind::Signals | Kind::Upgrade | Kind::Reload => {
+        FaultKind::Kill
+        | FaultKind::Term
+        | FaultKind::TermThenKill
+        | FaultKind::Signals
+        | FaultKind::Upgrade
+        | FaultKind::Reload => {
             for n in &fault.who {
                 let Some(scheduler) = stage.schedulers.get(*n) else { continue };
                 let mut scheduler = scheduler.lock().await;
                 match fault.kind {
-                    Kind::Kill => scheduler.kill(&stage.scenario).await?,
-                    Kind::Upgrade => scheduler.upgrade(&stage.scenario).await?,
-                    Kind::Reload => scheduler.reload()?,
-                    Kind::Signals => {
+                    FaultKind::Kill => scheduler.kill(&stage.scenario).await?,
+                    FaultKind::Upgrade => scheduler.upgrade(&stage.scenario).await?,
+                    FaultKind::Reload => scheduler.reload()?,
+                    FaultKind::Signals => {
                         scheduler.signals_in_series().await?;
                         scheduler.end_by_deadline(&stage.scenario).await?;
                         scheduler.start(&stage.scenario).await?;
                     }
-                    Kind::TermThenKill => {
+                    FaultKind::TermThenKill => {
                         scheduler.end_by_deadline(&stage.scenario).await?;
                         scheduler.start(&stage.scenario).await?;
                     }
@@ -173,16 +184,21 @@
                 }
             }
         }
-        Kind::Hang | Kind::Slow | Kind::Refuse | Kind::Break | Kind::Twice | Kind::Late => {
+        FaultKind::Hang
+        | FaultKind::Slow
+        | FaultKind::Refuse
+        | FaultKind::Break
+        | FaultKind::Twice
+        | FaultKind::Late => {
             let set = |on: bool| {
                 for w in workers() {
-                    w.behave(|manners, machine| match fault.kind {
-                        Kind::Hang => machine.hangs = on,
-                        Kind::Slow => machine.slower = if on { fault.factor } else { 1.0 },
-                        Kind::Refuse => manners.refuses = on,
-                        Kind::Break => manners.breaks = on,
-                        Kind::Twice => manners.twice = on,
-                        _ => manners.late = on,
+                    w.behave(|misbehavior, machine| match fault.kind {
+                        FaultKind::Hang => machine.hangs = on,
+                        FaultKind::Slow => machine.slower = if on { fault.factor } else { 1.0 },
+                        FaultKind::Refuse => misbehavior.refuses = on,
+                        FaultKind::Break => misbehavior.breaks = on,
+                        FaultKind::Twice => misbehavior.twice = on,
+                        _ => misbehavior.late = on,
                     });
                 }
             };
--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -7,7 +7,7 @@
 /// Something that a peer has seen or done.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Seen {
+pub enum Observation {
     /// A client has sent a job whole.
     Sent { job: String },
     /// A client has had an answer: its status, and whether the body is what a worker made for this job.
@@ -63,7 +63,7 @@
     View { scheduler: usize, states: String, minority: bool },
     /// Slots in use at a worker, and jobs that wait there.
     Load { worker: usize, slots: u32, queue: usize },
-    /// The laboratory itself stood still for so long until now, in milliseconds: what it saw then, it saw late.
+    /// The test bed itself stalled for so long until now, in milliseconds: what it saw then, it saw late.
     Stalled { ms: f64 },
     /// A fault of the script begins.
     Fault { what: String },
@@ -75,7 +75,7 @@
     /// When.
     pub at: f64,
     /// What.
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// The journal, shared by all peers.
@@ -103,7 +103,7 @@
     }
 
     /// Writes down what was seen just now.
-    pub fn write(&self, seen: Seen) {
+    pub fn write(&self, seen: Observation) {
         let mut entries = match self.entries.lock() {
             Ok(entries) => entries,
             Err(poisoned) => poisoned.into_inner(), // whole entries only are ever written
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -19,11 +19,11 @@
 
 /// What a worker does with a job that is brought to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum Admission {
     /// It is in the queue or at work.
-    Yes,
+    Accepted,
     /// It is here already.
-    Twice,
+    Duplicate,
     /// There is no room.
     Full,
 }
@@ -95,19 +95,19 @@
     }
 
     /// A job is brought. It begins with the next step, if it fits.
-    pub fn bring(&mut self, work: Work) -> Taken {
+    pub fn submit(&mut self, work: Work) -> Admission {
         if self.running.iter().chain(&self.queue).any(|w| w.id == work.id) {
-            return Taken::Twice;
+            return Admission::Duplicate;
         }
         if self.queue.len() >= self.queue_limit {
-            return Taken::Full;
+            return Admission::Full;
         }
         self.queue.push_back(work);
-        Taken::Yes
+        Admission::Accepted
     }
 
     /// A job is given up: what waits is dropped, what runs goes on.
-    pub fn give_up(&mut self, id: &str) {
+    pub fn cancel(&mut self, id: &str) {
         self.queue.retain(|w| w.id != id);
     }
 
--- a/crates/testbed/src/machine/tests.rs
+++ b/crates/testbed/src/machine/tests.rs
@@ -1,4 +1,4 @@
-use super::{Machine, Taken, Work};
+use super::{Admission, Machine, Work};
 use proptest::prelude::*;
 
 fn work(id: &str, slots: u32, left: f64) -> Work {
@@ -8,18 +8,18 @@
 #[test]
 fn jobs_begin_in_order_and_a_cold_machine_is_slower() {
     let mut m = Machine::new(2, 2, 2.0, 0.5, 1_000.0);
-    assert_eq!(m.bring(work("a", 1, 100.0)), Taken::Yes);
-    assert_eq!(m.bring(work("a", 1, 100.0)), Taken::Twice);
+    assert_eq!(m.submit(work("a", 1, 100.0)), Admission::Accepted);
+    assert_eq!(m.submit(work("a", 1, 100.0)), Admission::Duplicate);
     m.advance(0.0);
-    m.bring(work("b", 2, 100.0));
-    m.bring(work("c", 1, 100.0));
-    assert_eq!(m.bring(work("d", 1, 1.0)), Taken::Full);
+    m.submit(work("b", 2, 100.0));
+    m.submit(work("c", 1, 100.0));
+    assert_eq!(m.submit(work("d", 1, 1.0)), Admission::Full);
     // b does not fit, and c does not pass it.
     assert_eq!(m.advance(10.0), (vec![], vec![]));
     assert_eq!((m.free(), m.jobs()), (0, (3, 2)));
     assert_eq!(m.advance(50.0), (vec!["b".into()], vec!["a".into()]));
     assert_eq!(m.crash(100.0), ["b", "c"]);
-    m.bring(work("e", 4, 100.0)); // larger than the machine: alone
+    m.submit(work("e", 4, 100.0)); // larger than the machine: alone
     m.advance(100.0);
     assert_eq!(m.advance(150.0).1, Vec::<String>::new());
     assert!((m.warmth(150.0) - 0.525).abs() < 1e-9);
@@ -35,7 +35,7 @@
             match what {
                 0 | 1 => {
                     n += 1;
-                    if m.bring(work(&n.to_string(), slots, time.into())) == Taken::Yes {
+                    if m.submit(work(&n.to_string(), slots, time.into())) == Admission::Accepted {
                         here.insert(n.to_string());
                     }
                 }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::scenario::{By, Scenario};
+use crate::scenario::{ReadyBy, Scenario};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -155,15 +155,15 @@
                 job.patience = ready - job.at + b.patience_s * 1e3;
                 job.backlog = true;
                 match b.by {
-                    By::Hour => job.start = Some(ready),
-                    By::Job => {
+                    ReadyBy::Hour => job.start = Some(ready),
+                    ReadyBy::Job => {
                         job.after.push((hub.id.clone(), false));
                         job.home = hub.home;
                     }
                 }
                 jobs.push(job);
             }
-            if b.by == By::Job {
+            if b.by == ReadyBy::Job {
                 jobs.push(hub);
             }
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -20,7 +20,7 @@
 
 /// What all links do to datagrams; connections are as late, and what is lost on them is sent again after a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkConditions {
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
@@ -32,8 +32,8 @@
 }
 
 /// What can be seen and set while all runs.
-struct Sky {
-    weather: Weather,
+struct RelayState {
+    conditions: LinkConditions,
     cut: BTreeSet<(usize, usize)>,
     /// Connections on these are reset.
     reset: BTreeSet<(usize, usize)>,
@@ -49,7 +49,7 @@
     pub own: Vec<SocketAddr>,
     /// Where others reach it.
     pub known: Vec<SocketAddr>,
-    sky: Mutex<Sky>,
+    state: Mutex<RelayState>,
 }
 
 /// What is lost on a connection is sent again after this time, in milliseconds (Linux's least).
@@ -79,15 +79,15 @@
                 .push((listener, Arc::new(UdpSocket::bind(addr).await.with_context(|| format!("{addr}"))?)));
             known.push(addr);
         }
-        let sky = Sky {
-            weather: Weather::default(),
+        let state = RelayState {
+            conditions: LinkConditions::default(),
             cut: BTreeSet::new(),
             reset: BTreeSet::new(),
             carried: BTreeMap::new(),
             begun: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        let relay = Arc::new(Relay { own, known, sky: Mutex::new(sky) });
+        let relay = Arc::new(Relay { own, known, state: Mutex::new(state) });
         let datagrams: Vec<Arc<UdpSocket>> = sockets.iter().map(|(_, udp)| udp.clone()).collect();
         for (to, (listener, _)) in sockets.into_iter().enumerate() {
             tokio::spawn(relay.clone().datagrams(to, datagrams.clone()));
@@ -96,63 +96,63 @@
         Ok(relay)
     }
 
-    fn sky(&self) -> MutexGuard<'_, Sky> {
-        match self.sky.lock() {
-            Ok(sky) => sky,
+    fn state(&self) -> MutexGuard<'_, RelayState> {
+        match self.state.lock() {
+            Ok(state) => state,
             Err(poisoned) => poisoned.into_inner(), // a panic elsewhere; the run fails by that
         }
     }
 
     /// All links from now on.
-    pub fn weather(&self, weather: Weather) {
-        self.sky().weather = weather;
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        self.state().conditions = conditions;
     }
 
     /// Cuts the ways from some to others, or makes them whole again; the ways back stay as they are.
     pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
-        let mut sky = self.sky();
+        let mut state = self.state();
         for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if cut { sky.cut.insert(pair) } else { sky.cut.remove(&pair) };
+            let _ = if cut { state.cut.insert(pair) } else { state.cut.remove(&pair) };
         }
     }
 
     /// Has connections from some to others reset as soon as they come, or no more.
     pub fn reset(&self, from: &[usize], to: &[usize], on: bool) {
-        let mut sky = self.sky();
+        let mut state = self.state();
         for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if on { sky.reset.insert(pair) } else { sky.reset.remove(&pair) };
+            let _ = if on { state.reset.insert(pair) } else { state.reset.remove(&pair) };
         }
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.sky().cut.contains(&(from, to))
+        self.state().cut.contains(&(from, to))
     }
 
     /// When copies of a datagram are to be handed on; none where it is lost.
     fn fate(&self, from: usize, to: usize) -> Vec<Duration> {
-        let mut sky = self.sky();
-        let Weather { loss, twice, delay_ms, limit } = sky.weather;
+        let mut state = self.state();
+        let LinkConditions { loss, twice, delay_ms, limit } = state.conditions;
         if limit > 0 {
-            let second = sky.begun.elapsed().as_secs();
-            let carried = sky.carried.entry((from, to)).or_default();
+            let second = state.begun.elapsed().as_secs();
+            let carried = state.carried.entry((from, to)).or_default();
             *carried = if carried.0 == second { (second, carried.1 + 1) } else { (second, 1) };
             if carried.1 > limit {
                 return Vec::new();
             }
         }
-        if sky.cut.contains(&(from, to)) || sky.rng.random::<f64>() < loss {
+        if state.cut.contains(&(from, to)) || state.rng.random::<f64>() < loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(sky.rng.random::<f64>() < twice);
-        (0..copies).map(|_| Duration::from_secs_f64(delay_ms * sky.rng.random::<f64>() / 1e3)).collect()
+        let copies = 1 + usize::from(state.rng.random::<f64>() < twice);
+        (0..copies).map(|_| Duration::from_secs_f64(delay_ms * state.rng.random::<f64>() / 1e3)).collect()
     }
 
     /// How late the next piece of a connection is.
     fn lag(&self) -> Duration {
-        let mut sky = self.sky();
-        let Weather { loss, delay_ms, .. } = sky.weather;
-        let mut ms = delay_ms * sky.rng.random::<f64>();
-        while sky.rng.random::<f64>() < loss {
+        let mut state = self.state();
+        let LinkConditions { loss, delay_ms, .. } = state.conditions;
+        let mut ms = delay_ms * state.rng.random::<f64>();
+        while state.rng.random::<f64>() < loss {
             ms += SENT_AGAIN_MS;
         }
         Duration::from_secs_f64(ms / 1e3)
@@ -183,7 +183,7 @@
 
     /// A cut link is silent: the connection is up, and nothing comes.
     async fn connection(self: Arc<Relay>, from: usize, to: usize, stream: TcpStream) {
-        if self.sky().reset.contains(&(from, to)) {
+        if self.state().reset.contains(&(from, to)) {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // a reset in place of an end
             return;
         }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,7 +1,7 @@
 //! What a run shows: figures, plots and broken rules, as JSON and as a page that needs nothing else.
 
-use crate::journal::Seen;
-use crate::rules::{Breach, World};
+use crate::journal::Observation;
+use crate::rules::{Breach, RunIndex};
 use crate::runner::Run;
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
@@ -60,7 +60,7 @@
     pub from: f64,
     /// And until when.
     pub to: f64,
-    /// As in [`Seen::View`].
+    /// As in [`Observation::View`].
     pub state: char,
 }
 
@@ -143,7 +143,7 @@
 /// # Errors
 /// A figure is beyond all bounds.
 pub fn report(run: &Run, seed: u64, breaches: Vec<Breach>) -> Result<Report> {
-    let world = World::new(run);
+    let index = RunIndex::new(run);
     let mut report = Report {
         about: run.scenario.about.clone(),
         seed,
@@ -154,13 +154,13 @@
     };
     let (mut latencies, mut waits) = (BTreeMap::<String, Vec<f64>>::new(), Vec::new());
     let mut fresh_refused = 0;
-    for (job, story) in world.jobs().filter(|(_, s)| s.sent.is_some()) {
-        let Some(sent) = story.sent else { continue };
+    for (job, history) in index.jobs().filter(|(_, s)| s.sent.is_some()) {
+        let Some(sent) = history.sent else { continue };
         let name = run.scenario.class[job.class].name.clone();
         let class = report.classes.entry(name.clone()).or_default();
         report.jobs += 1;
         class.sent += 1;
-        let status = story.status();
+        let status = history.status();
         match status {
             Some(200) => class.served += 1,
             Some(429 | 503) => class.refused += 1,
@@ -168,14 +168,19 @@
             None => class.other += 1,
         }
         status.into_iter().for_each(|s| *class.statuses.entry(s).or_default() += 1);
-        if !story.ends.iter().any(|(_, s)| matches!(s, Seen::Left { .. } | Seen::Broken { .. })) {
-            let answers = story.ends.iter().filter(|(_, s)| matches!(s, Seen::Answered { .. })).count();
+        if !history
+            .ends
+            .iter()
+            .any(|(_, s)| matches!(s, Observation::Left { .. } | Observation::Broken { .. }))
+        {
+            let answers =
+                history.ends.iter().filter(|(_, s)| matches!(s, Observation::Answered { .. })).count();
             report.answers = [report.answers[0].min(answers), report.answers[1].max(answers)];
         }
-        let ready = world.ready(job, story);
+        let ready = index.ready(job, history);
         if status == Some(200) {
             let from = if job.waits() { ready.unwrap_or(sent) } else { sent };
-            let took = story.answered().unwrap_or(from) - from;
+            let took = history.answered().unwrap_or(from) - from;
             latencies.entry(name).or_default().push(took.max(0.0));
         }
         if !job.waits() {
@@ -194,9 +199,9 @@
             continue; // it never came ready by what its scheduler knew
         }
         // Refused before it came ready, it has not waited for the fleet.
-        let began = story.got.first().map(|(at, ..)| *at).or(story.answered());
+        let began = history.got.first().map(|(at, ..)| *at).or(history.answered());
         if let (Some(ready), Some(began)) = (ready, began) {
-            if began >= ready || !story.got.is_empty() {
+            if began >= ready || !history.got.is_empty() {
                 report.waiting.ready += 1;
                 waits.push((began - ready).max(0.0));
             }
@@ -223,7 +228,9 @@
     let mut all = Vec::new();
     for by in 0..n {
         let views = run.entries.iter().filter_map(|e| match &e.seen {
-            Seen::View { scheduler, states, minority } if *scheduler == by => Some((e.at, states, *minority)),
+            Observation::View { scheduler, states, minority } if *scheduler == by => {
+                Some((e.at, states, *minority))
+            }
             _ => None,
         });
         let views: Vec<_> = views.collect();
@@ -281,17 +288,17 @@
             (s.held[noted], s.in_flight[noted]) = sum;
         }
         match &e.seen {
-            Seen::Answered { status: 200, .. } => s.answers[n][0] += 1.0,
-            Seen::Answered { status: 429 | 503, .. } => s.answers[n][1] += 1.0,
-            Seen::Answered { .. } => s.answers[n][2] += 1.0,
-            Seen::Figures { scheduler, held, in_flight, resident_kib, .. } => {
+            Observation::Answered { status: 200, .. } => s.answers[n][0] += 1.0,
+            Observation::Answered { status: 429 | 503, .. } => s.answers[n][1] += 1.0,
+            Observation::Answered { .. } => s.answers[n][2] += 1.0,
+            Observation::Figures { scheduler, held, in_flight, resident_kib, .. } => {
                 latest[*scheduler] = (*held as f64, *in_flight as f64);
                 report.most_held = report.most_held.max(*held);
                 report.most_resident_kib = report.most_resident_kib.max(*resident_kib);
             }
-            Seen::Load { worker, slots, .. } => fill(&mut s.load, *worker, e.at, *slots),
-            Seen::Died { worker } => fill(&mut s.load, *worker, e.at, 0),
-            Seen::Fault { what } => report.faults.push((e.at, what.clone())),
+            Observation::Load { worker, slots, .. } => fill(&mut s.load, *worker, e.at, *slots),
+            Observation::Died { worker } => fill(&mut s.load, *worker, e.at, 0),
+            Observation::Fault { what } => report.faults.push((e.at, what.clone())),
             _ => {}
         }
     }
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules, held against what the peers have seen and nothing else.
 
-use crate::journal::{Entry, Seen};
+use crate::journal::{Entry, Observation};
 use crate::plan::Job;
 use crate::runner::Run;
 use crate::scenario::{Effect, WINDOW_MS};
@@ -19,7 +19,7 @@
 const DRAIN_MS: f64 = 800.0;
 /// Attempts for one job, at most.
 const ATTEMPTS: usize = 5;
-/// What a laboratory that stood still has to catch up with comes within this time, in milliseconds.
+/// A test bed that stalled has caught up within this time, in milliseconds.
 const AFTER_STALL_MS: f64 = 250.0;
 /// The end of a process is noted up to so much later, in milliseconds.
 const END_NOTED_MS: f64 = 10.0;
@@ -74,91 +74,95 @@
             examples.push(what);
         }
     };
-    let world = World::new(run);
-    answers(&world, &mut add);
-    attempts(&world, &mut add);
-    drains(&world, &mut add);
-    starts::cold(&world, &mut add);
-    starts::waits(&world, &mut add);
-    clients::left(&world, &mut add);
-    clients::time_told(&world, &mut add);
+    let index = RunIndex::new(run);
+    answers(&index, &mut add);
+    attempts(&index, &mut add);
+    drains(&index, &mut add);
+    starts::cold(&index, &mut add);
+    starts::waits(&index, &mut add);
+    clients::left(&index, &mut add);
+    clients::time_told(&index, &mut add);
     members::members(run, &mut add);
     breaches.into_iter().map(|(rule, (count, examples))| Breach { rule, count, examples }).collect()
 }
 
 /// What was seen of a job.
 #[derive(Default)]
-pub struct Story<'a> {
+pub struct JobHistory<'a> {
     /// When it was first sent.
     pub sent: Option<f64>,
     /// How often its client has sent it.
     pub sends: usize,
     /// Its ends, as its client saw them.
-    pub ends: Vec<(f64, &'a Seen)>,
+    pub ends: Vec<(f64, &'a Observation)>,
     /// When workers got it, and what they said.
     pub got: Vec<(f64, usize, u16, bool)>,
     /// When workers had done it.
     pub done: Vec<f64>,
 }
 
-impl Story<'_> {
+impl JobHistory<'_> {
     /// The status that its client had.
     pub fn status(&self) -> Option<u16> {
-        self.ends
-            .iter()
-            .find_map(|(_, s)| if let Seen::Answered { status, .. } = s { Some(*status) } else { None })
+        self.ends.iter().find_map(|(_, s)| {
+            if let Observation::Answered { status, .. } = s {
+                Some(*status)
+            } else {
+                None
+            }
+        })
     }
 
     /// When its client had its answer.
     pub fn answered(&self) -> Option<f64> {
-        self.ends.iter().find(|(_, s)| matches!(s, Seen::Answered { .. })).map(|(at, _)| *at)
+        self.ends.iter().find(|(_, s)| matches!(s, Observation::Answered { .. })).map(|(at, _)| *at)
     }
 }
 
 /// A run, by job.
-pub struct World<'a> {
+pub struct RunIndex<'a> {
     /// The run.
     pub run: &'a Run,
     /// What was seen of each job.
-    pub stories: HashMap<&'a str, Story<'a>>,
+    pub histories: HashMap<&'a str, JobHistory<'a>>,
 }
 
-impl<'a> World<'a> {
+impl<'a> RunIndex<'a> {
     /// Sorts what was seen by job.
-    pub fn new(run: &'a Run) -> World<'a> {
-        let mut stories = HashMap::<&str, Story>::new();
+    pub fn new(run: &'a Run) -> RunIndex<'a> {
+        let mut histories = HashMap::<&str, JobHistory>::new();
         for Entry { at, seen } in &run.entries {
             match seen {
-                Seen::Sent { job } => {
-                    let story = stories.entry(job).or_default();
-                    story.sent.get_or_insert(*at);
-                    story.sends += 1;
+                Observation::Sent { job } => {
+                    let history = histories.entry(job).or_default();
+                    history.sent.get_or_insert(*at);
+                    history.sends += 1;
                 }
-                Seen::Answered { job, .. }
-                | Seen::Broken { job, .. }
-                | Seen::Left { job }
-                | Seen::Unanswered { job } => stories.entry(job).or_default().ends.push((*at, seen)),
-                Seen::Got { job, worker, status, may_run, .. } => {
-                    stories.entry(job).or_default().got.push((*at, *worker, *status, *may_run));
+                Observation::Answered { job, .. }
+                | Observation::Broken { job, .. }
+                | Observation::Left { job }
+                | Observation::Unanswered { job } => histories.entry(job).or_default().ends.push((*at, seen)),
+                Observation::Got { job, worker, status, may_run, .. } => {
+                    histories.entry(job).or_default().got.push((*at, *worker, *status, *may_run));
                 }
-                Seen::Done { job, .. } => stories.entry(job).or_default().done.push(*at),
+                Observation::Done { job, .. } => histories.entry(job).or_default().done.push(*at),
                 _ => {}
             }
         }
-        World { run, stories }
+        RunIndex { run, histories }
     }
 
     /// The jobs of the plan with what was seen of them.
-    pub fn jobs(&self) -> impl Iterator<Item = (&'a Job, &Story<'a>)> + '_ {
+    pub fn jobs(&self) -> impl Iterator<Item = (&'a Job, &JobHistory<'a>)> + '_ {
         let run = self.run;
-        run.plan.jobs.iter().filter_map(|job| Some((job, self.stories.get(job.id.as_str())?)))
+        run.plan.jobs.iter().filter_map(|job| Some((job, self.histories.get(job.id.as_str())?)))
     }
 
     /// When a job came ready: the last of its time and of the answers that it waits for; `None`: it never did.
-    pub fn ready(&self, job: &Job, story: &Story) -> Option<f64> {
-        let mut ready = job.start.unwrap_or(0.0).max(story.sent?);
+    pub fn ready(&self, job: &Job, history: &JobHistory) -> Option<f64> {
+        let mut ready = job.start.unwrap_or(0.0).max(history.sent?);
         for (name, any) in &job.after {
-            let named = self.stories.get(name.as_str())?;
+            let named = self.histories.get(name.as_str())?;
             if !any && named.status() != Some(200) {
                 return None;
             }
@@ -167,11 +171,11 @@
         Some(ready)
     }
 
-    /// Whether the laboratory stood still as something is said to have happened, or just before: then it may have happened as
+    /// Whether the test bed stalled when something is said to have happened, or just before: then it may have happened as
     /// much earlier.
     fn is_doubtful(&self, at: f64) -> bool {
         let stalls = self.run.entries.iter().filter_map(|e| match e.seen {
-            Seen::Stalled { ms } => Some((e.at - ms, e.at)),
+            Observation::Stalled { ms } => Some((e.at - ms, e.at)),
             _ => None,
         });
         stalls.into_iter().any(|(from, to)| at >= from && at <= to + AFTER_STALL_MS)
@@ -183,11 +187,13 @@
         let mut told_to_end = None;
         for e in self.run.entries.iter().filter(|e| e.at <= ended) {
             match e.seen {
-                Seen::Terminated { scheduler: s } if s == scheduler => {
+                Observation::Terminated { scheduler: s } if s == scheduler => {
                     told_to_end.get_or_insert(e.at);
                 }
                 // The process that was told to end has, or another is up.
-                Seen::Up { scheduler: s } | Seen::Exited { scheduler: s, .. } if s == scheduler => {
+                Observation::Up { scheduler: s } | Observation::Exited { scheduler: s, .. }
+                    if s == scheduler =>
+                {
                     told_to_end = None;
                 }
                 _ => {}
@@ -199,9 +205,11 @@
 
     /// Whether a scheduler's process had ended by a time, and no other was up.
     fn had_ended(&self, scheduler: usize, at: f64) -> bool {
-        let of = |seen: &Seen| match seen {
-            Seen::Up { scheduler: s } if *s == scheduler => Some(false),
-            Seen::Exited { scheduler: s, .. } | Seen::Killed { scheduler: s } if *s == scheduler => {
+        let of = |seen: &Observation| match seen {
+            Observation::Up { scheduler: s } if *s == scheduler => Some(false),
+            Observation::Exited { scheduler: s, .. } | Observation::Killed { scheduler: s }
+                if *s == scheduler =>
+            {
                 Some(true)
             }
             _ => None,
@@ -216,8 +224,8 @@
         let mut since = None;
         for e in &self.run.entries {
             match e.seen {
-                Seen::Killed { scheduler: s } if s == scheduler => since = Some(e.at),
-                Seen::Up { scheduler: s }
+                Observation::Killed { scheduler: s } if s == scheduler => since = Some(e.at),
+                Observation::Up { scheduler: s }
                     if s == scheduler && since.take().is_some_and(|at| at <= to && e.at >= from) =>
                 {
                     return true;
@@ -229,56 +237,57 @@
     }
 }
 
-fn answers(world: &World, add: &mut impl FnMut(Rule, String)) {
-    for (job, story) in world.jobs() {
+fn answers(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    for (job, history) in index.jobs() {
         let id = &job.id;
-        let answers = story.ends.iter().filter(|(_, s)| matches!(s, Seen::Answered { .. })).count();
+        let answers = history.ends.iter().filter(|(_, s)| matches!(s, Observation::Answered { .. })).count();
         if answers > 1 {
             add(Rule::OneAnswer, format!("{id} has {answers} answers"));
         }
-        if story.sent.is_some() && story.ends.is_empty() {
+        if history.sent.is_some() && history.ends.is_empty() {
             add(Rule::OneAnswer, format!("{id} has no end"));
         }
-        for (at, end) in &story.ends {
+        for (at, end) in &history.ends {
             match end {
-                Seen::Unanswered { .. } => {
+                Observation::Unanswered { .. } => {
                     add(Rule::OneAnswer, format!("{id} has no answer when its client gives up"));
                 }
-                Seen::Broken { scheduler, unheard: true, .. } => {
+                Observation::Broken { scheduler, unheard: true, .. } => {
                     // What was written to a connection that had ended with its process was never read.
                     let lost = |sent: &f64| {
                         // Sent on a connection that ended with its process, and never brought to a worker: not read.
-                        let ended = world.had_ended(*scheduler, *sent + END_NOTED_MS) && story.got.is_empty();
-                        !ended && !world.excused(*scheduler, *sent, *at)
+                        let ended =
+                            index.had_ended(*scheduler, *sent + END_NOTED_MS) && history.got.is_empty();
+                        !ended && !index.excused(*scheduler, *sent, *at)
                     };
-                    if let Some(sent) = story.sent.filter(lost) {
+                    if let Some(sent) = history.sent.filter(lost) {
                         add(
                             Rule::OneAnswer,
                             format!("{id} is lost: sent at {sent:.0}, nobody listens at {at:.0}"),
                         );
                     }
                 }
-                Seen::Broken { scheduler, .. } => {
+                Observation::Broken { scheduler, .. } => {
                     // One that was never sent was not taken; one whose scheduler was killed is lost with it.
-                    if let Some(sent) = story.sent.filter(|sent| !world.excused(*scheduler, *sent, *at)) {
+                    if let Some(sent) = history.sent.filter(|sent| !index.excused(*scheduler, *sent, *at)) {
                         add(
                             Rule::OneAnswer,
                             format!("{id} is lost: sent at {sent:.0}, its connection ended at {at:.0}"),
                         );
                     }
                 }
-                Seen::Answered { status: 200, own: false, .. } => {
+                Observation::Answered { status: 200, own: false, .. } => {
                     add(Rule::OwnResult, format!("{id} is served with something else"));
                 }
-                Seen::Answered { status: 200, .. } if story.done.is_empty() => {
+                Observation::Answered { status: 200, .. } if history.done.is_empty() => {
                     add(Rule::OwnResult, format!("{id} is served though no worker has done it"));
                 }
                 _ => {}
             }
         }
     }
-    for e in &world.run.entries {
-        if let Seen::Surplus { scheduler, bytes } = e.seen {
+    for e in &index.run.entries {
+        if let Observation::Surplus { scheduler, bytes } = e.seen {
             add(
                 Rule::OneAnswer,
                 format!("{bytes} bytes from scheduler {scheduler} after an answer at {:.0}", e.at),
@@ -287,18 +296,18 @@
     }
 }
 
-fn attempts(world: &World, add: &mut impl FnMut(Rule, String)) {
-    let cell = world.run.scenario.fleet.cell.max(1);
-    for (job, story) in world.jobs() {
-        let effect = world.run.scenario.class[job.class].effect;
-        if story.got.len() > ATTEMPTS {
-            add(Rule::Repeats, format!("{} was sent {} times", job.id, story.got.len()));
+fn attempts(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    let cell = index.run.scenario.fleet.cell.max(1);
+    for (job, history) in index.jobs() {
+        let effect = index.run.scenario.class[job.class].effect;
+        if history.got.len() > ATTEMPTS {
+            add(Rule::Repeats, format!("{} was sent {} times", job.id, history.got.len()));
         }
-        let Some(first) = story.got.iter().position(|(.., may_run)| *may_run) else { continue };
-        let (at, worker, ..) = story.got[first];
-        for (again, other, ..) in &story.got[first + 1..] {
+        let Some(first) = history.got.iter().position(|(.., may_run)| *may_run) else { continue };
+        let (at, worker, ..) = history.got[first];
+        for (again, other, ..) in &history.got[first + 1..] {
             // A client whose scheduler is killed under a request on a kept connection may send it again itself.
-            let by_client = story.sends > 1 && world.killed(job.home, at, *again);
+            let by_client = history.sends > 1 && index.killed(job.home, at, *again);
             let allowed = by_client
                 || match effect {
                     Effect::Repeatable => true,
@@ -315,24 +324,24 @@
     }
 }
 
-fn drains(world: &World, add: &mut impl FnMut(Rule, String)) {
+fn drains(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
     // Since when a scheduler knows that a worker drains.
     let mut since = HashMap::<(usize, usize), f64>::new();
-    for e in &world.run.entries {
+    for e in &index.run.entries {
         match &e.seen {
-            Seen::Told { worker, scheduler, drains: true } => {
+            Observation::Told { worker, scheduler, drains: true } => {
                 since.entry((*worker, *scheduler)).or_insert(e.at);
             }
-            Seen::Told { worker, scheduler, drains: false } => {
+            Observation::Told { worker, scheduler, drains: false } => {
                 since.remove(&(*worker, *scheduler));
             }
             // A new process has heard nothing yet.
-            Seen::Killed { scheduler } | Seen::Exited { scheduler, .. } => {
+            Observation::Killed { scheduler } | Observation::Exited { scheduler, .. } => {
                 since.retain(|(_, s), _| s != scheduler)
             }
-            Seen::Got { job, worker, scheduler, .. } => {
+            Observation::Got { job, worker, scheduler, .. } => {
                 let late = since.get(&(*worker, *scheduler));
-                let late = late.filter(|at| e.at - **at > DRAIN_MS && !world.is_doubtful(e.at));
+                let late = late.filter(|at| e.at - **at > DRAIN_MS && !index.is_doubtful(e.at));
                 if let Some(at) = late {
                     add(
                         Rule::Drains,
--- a/crates/testbed/src/rules/clients.rs
+++ b/crates/testbed/src/rules/clients.rs
@@ -1,8 +1,8 @@
 //! What clients are owed besides their answer: nothing done for one that has left, and no more time told than it has.
 
-use super::{Rule, World};
-use crate::journal::Seen;
-use crate::scenario::{Fault, Kind};
+use super::{Rule, RunIndex};
+use crate::journal::Observation;
+use crate::scenario::{Fault, FaultKind};
 
 /// Nothing new goes to a worker so long after the client has left, in milliseconds: 100 ms and 50 ms for the way there.
 const LEFT_MS: f64 = 150.0;
@@ -13,32 +13,34 @@
 const HELD_UP_S: f64 = 0.15;
 
 /// Whether the script stops a scheduler for longer, so that it reads late what clients have sent or done.
-fn is_held_up(world: &World, scheduler: usize) -> bool {
-    let holds = |f: &Fault| f.kind == Kind::Throttle || f.kind == Kind::Pause && f.for_s > HELD_UP_S;
-    world.run.scenario.fault.iter().any(|f| holds(f) && f.who.contains(&scheduler))
+fn is_held_up(index: &RunIndex, scheduler: usize) -> bool {
+    let holds =
+        |f: &Fault| f.kind == FaultKind::Throttle || f.kind == FaultKind::Pause && f.for_s > HELD_UP_S;
+    index.run.scenario.fault.iter().any(|f| holds(f) && f.who.contains(&scheduler))
 }
 
 /// No attempt for a client that has left.
-pub(super) fn left(world: &World, add: &mut impl FnMut(Rule, String)) {
-    for (job, story) in world.jobs() {
-        let left = story.ends.iter().find(|(_, s)| matches!(s, Seen::Left { .. })).map(|(at, _)| *at);
+pub(super) fn left(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    for (job, history) in index.jobs() {
+        let left =
+            history.ends.iter().find(|(_, s)| matches!(s, Observation::Left { .. })).map(|(at, _)| *at);
         let Some(left) = left else { continue };
-        let exact = !is_held_up(world, job.home);
-        let late = |at: f64| exact && at > left + LEFT_MS && !world.is_doubtful(at);
-        for (at, worker, ..) in story.got.iter().filter(|(at, ..)| late(*at)) {
+        let exact = !is_held_up(index, job.home);
+        let late = |at: f64| exact && at > left + LEFT_MS && !index.is_doubtful(at);
+        for (at, worker, ..) in history.got.iter().filter(|(at, ..)| late(*at)) {
             add(Rule::Left, format!("{} came to {worker} at {at:.0}; its client left at {left:.0}", job.id));
         }
     }
 }
 
 /// The time that workers were told.
-pub(super) fn time_told(world: &World, add: &mut impl FnMut(Rule, String)) {
-    for e in &world.run.entries {
-        let Seen::Got { job: id, left: Some(told), .. } = &e.seen else { continue };
-        let Some(job) = world.run.plan.get(id) else { continue };
-        let Some(sent) = world.stories.get(id.as_str()).and_then(|story| story.sent) else { continue };
+pub(super) fn time_told(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    for e in &index.run.entries {
+        let Observation::Got { job: id, left: Some(told), .. } = &e.seen else { continue };
+        let Some(job) = index.run.plan.get(id) else { continue };
+        let Some(sent) = index.histories.get(id.as_str()).and_then(|history| history.sent) else { continue };
         let has = sent + job.patience - e.at;
-        let exact = !is_held_up(world, job.home) && !world.is_doubtful(e.at);
+        let exact = !is_held_up(index, job.home) && !index.is_doubtful(e.at);
         if exact && *told > has + SLACK_MS {
             add(
                 Rule::TimeTold,
--- a/crates/testbed/src/rules/members.rs
+++ b/crates/testbed/src/rules/members.rs
@@ -1,22 +1,25 @@
 //! Membership: who found whom to be gone, and whether all agree in the end.
 
 use super::Rule;
-use crate::journal::{Entry, Seen};
+use crate::journal::{Entry, Observation};
 use crate::runner::Run;
-use crate::scenario::{Fault, Kind};
+use crate::scenario::{Fault, FaultKind};
 
 /// Membership, by what the schedulers show of it. Only order counts: which views there were, not when.
 pub(super) fn members(run: &Run, add: &mut impl FnMut(Rule, String)) {
     let (Some(members), n) = (&run.scenario.members, run.scenario.schedulers) else { return };
     let faults = &run.scenario.fault;
-    let falls = |f: &Fault, of: usize| matches!(f.kind, Kind::Down | Kind::Kill) && f.who.contains(&of);
+    let falls =
+        |f: &Fault, of: usize| matches!(f.kind, FaultKind::Down | FaultKind::Kill) && f.who.contains(&of);
     let granted = |of: usize| faults.iter().filter(|f| f.grants.contains(&of) || falls(f, of)).count();
     let mut views: Vec<Vec<(f64, &str, bool)>> = vec![Vec::new(); n];
     let mut killed = vec![None; n];
     for Entry { at, seen } in &run.entries {
         match seen {
-            Seen::View { scheduler, states, minority } => views[*scheduler].push((*at, states, *minority)),
-            Seen::Killed { scheduler } => killed[*scheduler] = Some(*at),
+            Observation::View { scheduler, states, minority } => {
+                views[*scheduler].push((*at, states, *minority))
+            }
+            Observation::Killed { scheduler } => killed[*scheduler] = Some(*at),
             _ => {}
         }
     }
@@ -28,7 +31,7 @@
             let there = |states: &str| is(states, of, b'a') || is(states, of, b's');
             let out = |states: &str| is(states, of, b'g') || is(states, of, b'l');
             let goes = views.windows(2).filter(|two| there(two[0].1) && out(two[1].1)).map(|two| two[1].0);
-            let ends = |f: &Fault| falls(f, of) || f.kind == Kind::Term && f.who.contains(&of);
+            let ends = |f: &Fault| falls(f, of) || f.kind == FaultKind::Term && f.who.contains(&of);
             let causes = faults.iter().filter(|f| f.grants.contains(&of) || ends(f));
             let mut causes: Vec<f64> = causes.map(|f| f.at_s * 1e3).collect();
             for at in goes {
@@ -45,7 +48,7 @@
     }
     // Who is down for long enough is found to be gone by all that are not themselves in trouble.
     let enough = (members.suspicion_ms + 8.0 * members.probe_ms) / 1e3;
-    let down = faults.iter().filter(|f| f.kind == Kind::Down && f.for_s >= enough);
+    let down = faults.iter().filter(|f| f.kind == FaultKind::Down && f.for_s >= enough);
     for of in down.flat_map(|f| f.who.iter().copied()) {
         let since = killed[of].unwrap_or(f64::INFINITY);
         for by in (0..n).filter(|by| *by != of && granted(*by) == 0) {
--- a/crates/testbed/src/rules/starts.rs
+++ b/crates/testbed/src/rules/starts.rs
@@ -1,7 +1,7 @@
 //! What starts too early: at workers that have just started themselves, or before what it waits for.
 
-use super::{Rule, World};
-use crate::journal::Seen;
+use super::{Rule, RunIndex};
+use crate::journal::Observation;
 use crate::scenario::{FALL_MS, OVERLOAD};
 use std::collections::HashMap;
 
@@ -9,18 +9,18 @@
 const APART_MS: f64 = 1_000.0;
 
 /// No worker that has just started is pushed over.
-pub(super) fn cold(world: &World, add: &mut impl FnMut(Rule, String)) {
-    let (scenario, plan) = (&world.run.scenario, &world.run.plan);
+pub(super) fn cold(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    let (scenario, plan) = (&index.run.scenario, &index.run.plan);
     let f = &scenario.fleet;
     let mut started = HashMap::<usize, f64>::new();
     let mut sent = HashMap::<usize, Vec<(f64, f64)>>::new();
-    for e in &world.run.entries {
+    for e in &index.run.entries {
         match &e.seen {
-            Seen::Started { worker } => {
+            Observation::Started { worker } => {
                 started.insert(*worker, e.at);
                 sent.remove(worker);
             }
-            Seen::Got { job, worker, may_run: true, .. } => {
+            Observation::Got { job, worker, may_run: true, .. } => {
                 let Some(start) = started.get(worker).filter(|at| e.at - **at < f.warm_ms) else { continue };
                 let Some(job) = plan.get(job) else { continue };
                 let work = job.work * f64::from(job.slots);
@@ -45,18 +45,18 @@
 }
 
 /// Nothing starts before what it waits for.
-pub(super) fn waits(world: &World, add: &mut impl FnMut(Rule, String)) {
-    if world.run.scenario.setup.is_none() {
+pub(super) fn waits(index: &RunIndex, add: &mut impl FnMut(Rule, String)) {
+    if index.run.scenario.setup.is_none() {
         return;
     }
-    for (job, story) in world.jobs().filter(|(job, _)| job.waits()) {
-        let Some((got, ..)) = story.got.first() else { continue };
+    for (job, history) in index.jobs().filter(|(job, _)| job.waits()) {
+        let Some((got, ..)) = history.got.first() else { continue };
         let id = &job.id;
         if let Some(start) = job.start.filter(|start| got + 1.0 < *start) {
             add(Rule::Early, format!("{id} came to a worker at {got:.0}, before its time {start:.0}"));
         }
         for (name, any) in &job.after {
-            let Some(named) = world.stories.get(name.as_str()) else {
+            let Some(named) = index.histories.get(name.as_str()) else {
                 add(Rule::Early, format!("{id} came to a worker, and nobody has ever sent {name}"));
                 continue;
             };
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::plan::Plan;
-use crate::scenario::{Fault, Kind, Scenario};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use std::sync::Arc;
 
 fn job(id: &str, after: &[(&str, bool)], start: Option<f64>) -> Job {
@@ -20,35 +20,35 @@
     }
 }
 
-fn run(effect: Effect, jobs: Vec<Job>, entries: Vec<(f64, Seen)>) -> Run {
+fn run(effect: Effect, jobs: Vec<Job>, entries: Vec<(f64, Observation)>) -> Run {
     let mut scenario = Scenario::read(crate::test_scenario::SMALL).unwrap();
     scenario.class[0].effect = effect;
     let entries = entries.into_iter().map(|(at, seen)| Entry { at, seen }).collect();
     Run { scenario, plan: Arc::new(Plan::of(jobs)), entries }
 }
 
-fn sent(job: &str) -> Seen {
-    Seen::Sent { job: job.into() }
+fn sent(job: &str) -> Observation {
+    Observation::Sent { job: job.into() }
 }
 
-fn answered(job: &str, status: u16, own: bool) -> Seen {
-    Seen::Answered { job: job.into(), status, own, retry_after: None }
+fn answered(job: &str, status: u16, own: bool) -> Observation {
+    Observation::Answered { job: job.into(), status, own, retry_after: None }
 }
 
-fn got(job: &str, worker: usize, may_run: bool) -> Seen {
+fn got(job: &str, worker: usize, may_run: bool) -> Observation {
     let status = if may_run { 202 } else { 503 };
-    Seen::Got { job: job.into(), worker, scheduler: 0, status, may_run, left: None }
+    Observation::Got { job: job.into(), worker, scheduler: 0, status, may_run, left: None }
 }
 
-fn done(job: &str) -> Seen {
-    Seen::Done { job: job.into(), worker: 0 }
+fn done(job: &str) -> Observation {
+    Observation::Done { job: job.into(), worker: 0 }
 }
 
 fn broken(run: &Run) -> Vec<Rule> {
     check(run).into_iter().map(|b| b.rule).collect()
 }
 
-fn served(extra: Vec<(f64, Seen)>) -> Vec<(f64, Seen)> {
+fn served(extra: Vec<(f64, Observation)>) -> Vec<(f64, Observation)> {
     let mut all =
         vec![(1.0, sent("a")), (2.0, got("a", 0, true)), (3.0, done("a")), (4.0, answered("a", 200, true))];
     all.extend(extra);
@@ -60,16 +60,19 @@
     let with = |extra| broken(&run(Effect::Once, vec![job("a", &[], None)], served(extra)));
     assert_eq!(with(vec![]), []);
     assert_eq!(with(vec![(5.0, answered("a", 503, false))]), [Rule::OneAnswer]);
-    assert_eq!(with(vec![(5.0, Seen::Surplus { scheduler: 0, bytes: 9 })]), [Rule::OneAnswer]);
+    assert_eq!(with(vec![(5.0, Observation::Surplus { scheduler: 0, bytes: 9 })]), [Rule::OneAnswer]);
     assert_eq!(with(vec![(5.0, got("a", 1, false))]), [Rule::Repeats]);
     let one = |entries| broken(&run(Effect::Repeatable, vec![job("a", &[], None)], entries));
     assert_eq!(one(vec![(1.0, sent("a"))]), [Rule::OneAnswer]);
-    assert_eq!(one(vec![(1.0, sent("a")), (9.0, Seen::Unanswered { job: "a".into() })]), [Rule::OneAnswer]);
-    let lost = || Seen::Broken { job: "a".into(), scheduler: 0, unheard: false };
+    assert_eq!(
+        one(vec![(1.0, sent("a")), (9.0, Observation::Unanswered { job: "a".into() })]),
+        [Rule::OneAnswer]
+    );
+    let lost = || Observation::Broken { job: "a".into(), scheduler: 0, unheard: false };
     assert_eq!(one(vec![(1.0, sent("a")), (9.0, lost())]), [Rule::OneAnswer]);
-    assert_eq!(one(vec![(1.0, sent("a")), (8.0, Seen::Killed { scheduler: 0 }), (9.0, lost())]), []);
-    let up = || (0.7, Seen::Up { scheduler: 0 });
-    let before = vec![(0.5, Seen::Killed { scheduler: 0 }), up(), (1.0, sent("a")), (9.0, lost())];
+    assert_eq!(one(vec![(1.0, sent("a")), (8.0, Observation::Killed { scheduler: 0 }), (9.0, lost())]), []);
+    let up = || (0.7, Observation::Up { scheduler: 0 });
+    let before = vec![(0.5, Observation::Killed { scheduler: 0 }), up(), (1.0, sent("a")), (9.0, lost())];
     assert_eq!(one(before), [Rule::OneAnswer]); // it was up again
     assert_eq!(one(vec![(9.0, lost())]), []); // it was never taken
     assert_eq!(one(vec![(1.0, sent("a")), (4.0, answered("a", 200, true))]), [Rule::OwnResult]);
@@ -94,7 +97,7 @@
 
 #[test]
 fn sends_after_a_drain_and_floods_of_a_cold_worker_show() {
-    let told = |drains| Seen::Told { worker: 0, scheduler: 0, drains };
+    let told = |drains| Observation::Told { worker: 0, scheduler: 0, drains };
     let sends = |entries| {
         let all = entries;
         broken(&run(Effect::Repeatable, (0..40).map(|n| job(&n.to_string(), &[], None)).collect(), all))
@@ -109,7 +112,7 @@
     assert_eq!(sends(all), []);
     // 4 slots at 0.4: 1.6 s of work a second, 3 x 2.4 s may come in 1.5 s, and one more.
     let flood = |n: usize| {
-        let mut all = vec![(0.0, Seen::Started { worker: 0 })];
+        let mut all = vec![(0.0, Observation::Started { worker: 0 })];
         (0..n).for_each(|i| all.extend(pair(10.0, &i.to_string())));
         sends(all)
     };
@@ -124,7 +127,7 @@
         Some(crate::scenario::Members { zones: 3, probe_ms: 500.0, suspicion_ms: 3_000.0 });
     let cut = |at_s, grants: &[usize]| Fault {
         at_s,
-        kind: Kind::Cut,
+        kind: FaultKind::Cut,
         who: vec![2],
         to: vec![0, 1],
         grants: grants.to_vec(),
@@ -135,11 +138,11 @@
         run.scenario.fault = faults;
         let view = |(at, states): &(f64, &str)| {
             let (states, minority) = (states.to_string(), false);
-            Entry { at: *at, seen: Seen::View { scheduler: 0, states, minority } }
+            Entry { at: *at, seen: Observation::View { scheduler: 0, states, minority } }
         };
         run.entries = views.iter().map(view).collect();
         for scheduler in [1, 2] {
-            let seen = Seen::View { scheduler, states: "aaa".into(), minority: false };
+            let seen = Observation::View { scheduler, states: "aaa".into(), minority: false };
             run.entries.push(Entry { at: 99.0, seen });
         }
         check(&run).into_iter().flat_map(|b| b.examples).collect::<Vec<String>>()
@@ -182,12 +185,13 @@
 
 #[test]
 fn an_attempt_for_nobody_too_much_time_told_and_a_request_lost_at_the_end_show() {
-    let leaves =
-        |at: f64| vec![(1.0, sent("a")), (50.0, Seen::Left { job: "a".into() }), (at, got("a", 0, true))];
+    let leaves = |at: f64| {
+        vec![(1.0, sent("a")), (50.0, Observation::Left { job: "a".into() }), (at, got("a", 0, true))]
+    };
     let left = |at| broken(&run(Effect::Repeatable, vec![job("a", &[], None)], leaves(at)));
     assert_eq!((left(190.0), left(210.0)), (vec![], vec![Rule::Left]));
     let told = |left: f64| {
-        let got = Seen::Got {
+        let got = Observation::Got {
             job: "a".into(),
             worker: 0,
             scheduler: 0,
@@ -202,19 +206,19 @@
     assert_eq!((told(9_100.0), told(9_200.0)), (vec![], vec![Rule::TimeTold]));
     let refused = |at: f64| {
         let all = vec![
-            (30.0, Seen::Exited { scheduler: 0, code: Some(0) }),
+            (30.0, Observation::Exited { scheduler: 0, code: Some(0) }),
             (at, sent("a")),
-            (40.0, Seen::Broken { job: "a".into(), scheduler: 0, unheard: true }),
+            (40.0, Observation::Broken { job: "a".into(), scheduler: 0, unheard: true }),
         ];
         broken(&run(Effect::Repeatable, vec![job("a", &[], None)], all))
     };
     assert_eq!((refused(31.0), refused(25.0), refused(15.0)), (vec![], vec![], vec![Rule::OneAnswer]));
     let lost = |at: f64| {
-        let end = Seen::Broken { job: "a".into(), scheduler: 0, unheard: false };
+        let end = Observation::Broken { job: "a".into(), scheduler: 0, unheard: false };
         let all = vec![
-            (0.0, Seen::Terminated { scheduler: 0 }),
+            (0.0, Observation::Terminated { scheduler: 0 }),
             (at, sent("a")),
-            (3_700.0, Seen::Killed { scheduler: 0 }),
+            (3_700.0, Observation::Killed { scheduler: 0 }),
             (3_701.0, end),
         ];
         broken(&run(Effect::Repeatable, vec![job("a", &[], None)], all))
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -3,7 +3,7 @@
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::faults;
-use crate::journal::{Entry, Journal, Seen};
+use crate::journal::{Entry, Journal, Observation};
 use crate::plan::{Job, Plan};
 use crate::relay::Relay;
 use crate::scenario::Scenario;
@@ -181,7 +181,7 @@
         let now = journal.now();
         let late_ms = now - last - HEARTBEAT.as_secs_f64() * 1e3;
         if late_ms > STALL_MS {
-            journal.write(Seen::Stalled { ms: late_ms });
+            journal.write(Observation::Stalled { ms: late_ms });
         }
         last = now;
     }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -157,7 +157,7 @@
     /// How many.
     pub jobs: usize,
     /// By what they come ready.
-    pub by: By,
+    pub by: ReadyBy,
     /// How long their clients wait from then on, in seconds.
     pub patience_s: f64,
 }
@@ -165,7 +165,7 @@
 /// What makes a backlog come ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum By {
+pub enum ReadyBy {
     /// A time.
     Hour,
     /// One job that all wait for.
@@ -179,7 +179,7 @@
     /// When, in seconds from the start.
     pub at_s: f64,
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// With which workers, by number, or with which scheduler.
     #[serde(default)]
     pub who: Vec<usize>,
@@ -200,7 +200,7 @@
 /// What can go wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum FaultKind {
     /// Workers die with all that they have, and start again cold after the time.
     Crash,
     /// Workers take jobs and answer none.
@@ -317,14 +317,17 @@
         }
         for fault in &s.fault {
             let count = if fault.kind.concerns_workers() { s.fleet.workers } else { s.schedulers };
-            let links = matches!(fault.kind, Kind::Cut | Kind::Reset | Kind::Limit | Kind::Weather);
+            let links = matches!(
+                fault.kind,
+                FaultKind::Cut | FaultKind::Reset | FaultKind::Limit | FaultKind::Weather
+            );
             if links && s.members.is_none() {
                 bail!("a {:?} at {} s needs [members]", fault.kind, fault.at_s);
             }
-            if fault.kind == Kind::Weather && !(0.0..1.0).contains(&fault.factor) {
+            if fault.kind == FaultKind::Weather && !(0.0..1.0).contains(&fault.factor) {
                 bail!("the factor of weather at {} s is the part that is lost, from 0 to 1", fault.at_s);
             }
-            if fault.kind == Kind::Throttle && !(fault.factor > 0.0 && fault.factor < 1.0) {
+            if fault.kind == FaultKind::Throttle && !(fault.factor > 0.0 && fault.factor < 1.0) {
                 bail!("the factor of a throttle at {} s is a part of a core, between 0 and 1", fault.at_s);
             }
             if let Some(other) = fault.who.iter().chain(&fault.to).find(|who| **who >= count) {
@@ -351,10 +354,10 @@
     }
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether it befalls workers; else schedulers or discovery.
     pub fn concerns_workers(self) -> bool {
-        use Kind::*;
+        use FaultKind::*;
         matches!(self, Crash | Hang | Slow | Refuse | Break | Drain | Twice | Late | Maint)
     }
 }
--- a/crates/testbed/src/schedulers.rs
+++ b/crates/testbed/src/schedulers.rs
@@ -1,6 +1,6 @@
 //! The real program, one or several of it, started and stopped as its operators would.
 
-use crate::journal::{Journal, Seen};
+use crate::journal::{Journal, Observation};
 use crate::relay::Relay;
 use crate::scenario::{Effect, Members, Scenario, FALL_MS, OVERLOAD, WINDOW_MS};
 use crate::wire::{self, Wire};
@@ -173,7 +173,7 @@
     pub async fn start(&mut self, scenario: &Scenario) -> Result<()> {
         self.child = Some(self.spawn(scenario, self.place.mgmt)?);
         self.wait_until(self.place.listen, "GET /up").await?;
-        self.journal.write(Seen::Up { scheduler: self.number });
+        self.journal.write(Observation::Up { scheduler: self.number });
         Ok(())
     }
 
@@ -215,7 +215,7 @@
     /// The system does not do it.
     pub async fn down(&mut self) -> Result<()> {
         if let Some(mut child) = self.child.take() {
-            self.journal.write(Seen::Killed { scheduler: self.number });
+            self.journal.write(Observation::Killed { scheduler: self.number });
             child.kill().await?;
         }
         Ok(())
@@ -236,11 +236,11 @@
     /// It does not end.
     pub async fn terminate(&mut self) -> Result<()> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
-        self.journal.write(Seen::Terminated { scheduler: self.number });
+        self.journal.write(Observation::Terminated { scheduler: self.number });
         Scheduler::signal(&child, Signal::TERM)?;
         let code =
             tokio::time::timeout(PATIENCE, child.wait()).await.context("it does not end on SIGTERM")??;
-        self.journal.write(Seen::Exited { scheduler: self.number, code: code.code() });
+        self.journal.write(Observation::Exited { scheduler: self.number, code: code.code() });
         Ok(())
     }
 
@@ -257,7 +257,7 @@
         let child = self.child.as_ref().context("it does not run")?;
         for signal in [Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP, Signal::TERM] {
             if signal == Signal::TERM {
-                self.journal.write(Seen::Terminated { scheduler: self.number });
+                self.journal.write(Observation::Terminated { scheduler: self.number });
             }
             Scheduler::signal(child, signal)?;
             tokio::time::sleep(BETWEEN_SIGNALS).await;
@@ -272,16 +272,16 @@
     /// The system does not do it.
     pub async fn end_by_deadline(&mut self, scenario: &Scenario) -> Result<()> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
-        self.journal.write(Seen::Terminated { scheduler: self.number });
+        self.journal.write(Observation::Terminated { scheduler: self.number });
         Scheduler::signal(&child, Signal::TERM)?;
         let longest = scenario.class.iter().map(|c| c.give_up_ms).fold(0.0, f64::max).min(LONGEST_MS);
         let until_kill = Duration::from_secs_f64((longest + BESIDES_MS) / 1e3);
         match tokio::time::timeout(until_kill, child.wait()).await {
             Ok(code) => {
-                self.journal.write(Seen::Exited { scheduler: self.number, code: code?.code() });
+                self.journal.write(Observation::Exited { scheduler: self.number, code: code?.code() });
             }
             Err(_) => {
-                self.journal.write(Seen::Killed { scheduler: self.number });
+                self.journal.write(Observation::Killed { scheduler: self.number });
                 child.kill().await?;
             }
         }
@@ -336,7 +336,7 @@
         let new = (states.into_iter().collect::<String>(), shown["minority"] == true);
         if self.seen.as_ref() != Some(&new) {
             let (states, minority) = new.clone();
-            self.journal.write(Seen::View { scheduler: self.number, states, minority });
+            self.journal.write(Observation::View { scheduler: self.number, states, minority });
             self.seen = Some(new);
         }
     }
@@ -346,7 +346,7 @@
         let Ok((200, body)) = self.call("GET /stats").await else { return };
         let Ok(figures) = serde_json::from_slice::<serde_json::Value>(&body) else { return };
         let figure = |name: &str| figures.get(name).and_then(serde_json::Value::as_u64).unwrap_or(0);
-        self.journal.write(Seen::Figures {
+        self.journal.write(Observation::Figures {
             scheduler: self.number,
             held: figure("held"),
             in_flight: figure("in_flight"),
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,10 +1,10 @@
 //! A soak: scenarios drawn from a seed, with 10 to 16 schedulers as processes of their own and faults that overlap in time.
 //! The rules are its oracle.
 
-use crate::journal::Seen;
+use crate::journal::Observation;
 use crate::rules;
 use crate::runner::Run;
-use crate::scenario::{Class, Effect, Fault, Fleet, Kind, Scenario, Waiting};
+use crate::scenario::{Class, Effect, Fault, FaultKind, Fleet, Scenario, Waiting};
 use anyhow::Result;
 use rand::seq::IndexedRandom;
 use rand::Rng;
@@ -28,26 +28,26 @@
 const CROWD: f64 = 300.0;
 
 /// What may go wrong, the likeliest named more often.
-const KINDS: [Kind; 19] = [
-    Kind::Crash,
-    Kind::Hang,
-    Kind::Slow,
-    Kind::Refuse,
-    Kind::Break,
-    Kind::Drain,
-    Kind::Drain,
-    Kind::Drain,
-    Kind::Late,
-    Kind::Replace,
-    Kind::Replace,
-    Kind::Discovery,
-    Kind::CutLists,
-    Kind::SlowLists,
-    Kind::Kill,
-    Kind::TermThenKill,
-    Kind::Signals,
-    Kind::Pause,
-    Kind::Reload,
+const KINDS: [FaultKind; 19] = [
+    FaultKind::Crash,
+    FaultKind::Hang,
+    FaultKind::Slow,
+    FaultKind::Refuse,
+    FaultKind::Break,
+    FaultKind::Drain,
+    FaultKind::Drain,
+    FaultKind::Drain,
+    FaultKind::Late,
+    FaultKind::Replace,
+    FaultKind::Replace,
+    FaultKind::Discovery,
+    FaultKind::CutLists,
+    FaultKind::SlowLists,
+    FaultKind::Kill,
+    FaultKind::TermThenKill,
+    FaultKind::Signals,
+    FaultKind::Pause,
+    FaultKind::Reload,
 ];
 
 fn class(rng: &mut ChaCha8Rng, name: &str, effect: Effect) -> Class {
@@ -69,10 +69,10 @@
         let fault = one(rng, kind, schedulers, workers);
         Fault { at_s: begin + after, for_s, ..fault }
     };
-    [at(Kind::Replace, 0.0, 0.0), at(Kind::Drain, 0.3, 5.0), at(Kind::Kill, 1.0, 0.0)]
+    [at(FaultKind::Replace, 0.0, 0.0), at(FaultKind::Drain, 0.3, 5.0), at(FaultKind::Kill, 1.0, 0.0)]
 }
 
-fn one(rng: &mut ChaCha8Rng, kind: Kind, schedulers: usize, workers: usize) -> Fault {
+fn one(rng: &mut ChaCha8Rng, kind: FaultKind, schedulers: usize, workers: usize) -> Fault {
     let at_s = rng.random_range(FAULTS_S[0]..FAULTS_S[1]);
     let count = if kind.concerns_workers() { workers } else { schedulers };
     let first = rng.random_range(0..count);
@@ -80,8 +80,8 @@
     let many =
         if kind.concerns_workers() { rng.random_range(1..=workers / 4) } else { rng.random_range(1..=2) };
     let who = (first..first + many).map(|n| n % count).collect();
-    let for_s = if kind == Kind::Pause { HELD_UP_S } else { rng.random_range(0.5..3.0) };
-    let factor = if kind == Kind::Crowd { CROWD } else { 5.0 };
+    let for_s = if kind == FaultKind::Pause { HELD_UP_S } else { rng.random_range(0.5..3.0) };
+    let factor = if kind == FaultKind::Crowd { CROWD } else { 5.0 };
     Fault { at_s, kind, who, grants: Vec::new(), to: Vec::new(), for_s, factor }
 }
 
@@ -110,15 +110,15 @@
 
 /// How the jobs of a run ended, in a line.
 pub fn summary(run: &Run) -> String {
-    let count = |is: fn(&Seen) -> bool| run.entries.iter().filter(|e| is(&e.seen)).count();
-    let served = count(|s| matches!(s, Seen::Answered { status: 200, .. }));
-    let refused = count(|s| matches!(s, Seen::Answered { status: 503, .. }));
-    let failed = count(|s| matches!(s, Seen::Answered { status, .. } if !matches!(status, 200 | 503)));
-    let ended = count(|s| matches!(s, Seen::Broken { .. }));
-    let stalls = count(|s| matches!(s, Seen::Stalled { .. }));
+    let count = |is: fn(&Observation) -> bool| run.entries.iter().filter(|e| is(&e.seen)).count();
+    let served = count(|s| matches!(s, Observation::Answered { status: 200, .. }));
+    let refused = count(|s| matches!(s, Observation::Answered { status: 503, .. }));
+    let failed = count(|s| matches!(s, Observation::Answered { status, .. } if !matches!(status, 200 | 503)));
+    let ended = count(|s| matches!(s, Observation::Broken { .. }));
+    let stalls = count(|s| matches!(s, Observation::Stalled { .. }));
     format!(
         "{served} served, {refused} refused, {failed} failed, {ended} with a scheduler that died or was not up; \
-         the laboratory stood still {stalls} times"
+         the test bed stalled {stalls} times"
     )
 }
 
@@ -132,12 +132,12 @@
     let faults = rng.random_range(FAULTS[0]..=FAULTS[1]);
     let mut fault: Vec<Fault> = (0..faults)
         .map(|_| {
-            let kind = *KINDS.choose(rng).unwrap_or(&Kind::Drain);
+            let kind = *KINDS.choose(rng).unwrap_or(&FaultKind::Drain);
             one(rng, kind, schedulers, workers)
         })
         .collect();
     if seed.is_multiple_of(3) {
-        fault.push(one(rng, Kind::Crowd, schedulers, workers));
+        fault.push(one(rng, FaultKind::Crowd, schedulers, workers));
     }
     if listed > 0 {
         fault.extend(release(rng, schedulers, workers));
--- a/crates/testbed/src/workers.rs
+++ b/crates/testbed/src/workers.rs
@@ -1,8 +1,8 @@
 //! Stand-in workers: a machine each, behind a listener for each scheduler. A job is taken with 202; what becomes of it
 //! is told by calls to the scheduler that sent it.
 
-use crate::journal::{Journal, Seen};
-use crate::machine::{Machine, Taken, Work};
+use crate::journal::{Journal, Observation};
+use crate::machine::{Admission, Machine, Work};
 use crate::plan::Plan;
 use crate::scenario::Scenario;
 use crate::wire::{self, Line, Wire};
@@ -23,7 +23,7 @@
 
 /// How a worker misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Manners {
+pub struct Misbehavior {
     /// Its process does not run.
     pub dead: bool,
     /// It turns everything away, unseen.
@@ -36,22 +36,22 @@
     pub late: bool,
 }
 
-struct Inside {
+struct State {
     machine: Machine,
-    manners: Manners,
+    misbehavior: Misbehavior,
     /// Who sent a job, by number.
     from: HashMap<String, usize>,
-    /// Its process's number: what an earlier one had is gone.
-    life: u64,
+    /// The number of its process, which rises with each death: what an earlier one had is lost.
+    process: u64,
 }
 
 /// A worker.
 pub struct Worker {
     /// Its number.
     pub number: usize,
-    inside: Mutex<Inside>,
-    /// Rises with each death; connections of earlier lives end.
-    lives: watch::Sender<u64>,
+    state: Mutex<State>,
+    /// The present process's number; connections of earlier ones end.
+    processes: watch::Sender<u64>,
     /// Where schedulers are told, by their numbers.
     schedulers: Vec<SocketAddr>,
     /// Where it listens for each scheduler.
@@ -79,16 +79,23 @@
     ) -> std::io::Result<Arc<Worker>> {
         let f = &scenario.fleet;
         let machine = Machine::new(f.slots, f.queue, scenario.speed_of(number), f.cold_from, f.warm_ms);
-        let inside = Inside { machine, manners: Manners::default(), from: HashMap::new(), life: 0 };
+        let state = State { machine, misbehavior: Misbehavior::default(), from: HashMap::new(), process: 0 };
         let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
         for _ in &schedulers {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             addrs.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        let (lives, _) = watch::channel(0);
-        let worker =
-            Arc::new(Worker { number, inside: Mutex::new(inside), lives, schedulers, addrs, plan, journal });
+        let (processes, _) = watch::channel(0);
+        let worker = Arc::new(Worker {
+            number,
+            state: Mutex::new(state),
+            processes,
+            schedulers,
+            addrs,
+            plan,
+            journal,
+        });
         for (scheduler, listener) in listeners.into_iter().enumerate() {
             tokio::spawn(worker.clone().listen(scheduler, listener));
         }
@@ -96,33 +103,33 @@
         Ok(worker)
     }
 
-    fn inside(&self) -> MutexGuard<'_, Inside> {
-        match self.inside.lock() {
-            Ok(inside) => inside,
+    fn state(&self) -> MutexGuard<'_, State> {
+        match self.state.lock() {
+            Ok(state) => state,
             Err(poisoned) => poisoned.into_inner(), // a panic elsewhere; the run fails by that
         }
     }
 
     /// Changes how it behaves.
-    pub fn behave(&self, change: impl FnOnce(&mut Manners, &mut Machine)) {
-        let Inside { manners, machine, .. } = &mut *self.inside();
-        change(manners, machine);
+    pub fn behave(&self, change: impl FnOnce(&mut Misbehavior, &mut Machine)) {
+        let State { misbehavior, machine, .. } = &mut *self.state();
+        change(misbehavior, machine);
     }
 
     /// Its process dies: connections break, and what it had is lost.
     pub fn die(&self) {
-        self.journal.write(Seen::Died { worker: self.number });
-        let mut inside = self.inside();
-        inside.machine.crash(self.journal.now());
-        inside.manners = Manners { dead: true, ..Manners::default() };
-        inside.life += 1;
+        self.journal.write(Observation::Died { worker: self.number });
+        let mut state = self.state();
+        state.machine.crash(self.journal.now());
+        state.misbehavior = Misbehavior { dead: true, ..Misbehavior::default() };
+        state.process += 1;
         // Whoever watches over the machine tells of what was lost.
-        let lost: Vec<(String, usize)> = inside.from.drain().collect();
-        let life = inside.life;
-        drop(inside);
-        self.lives.send_replace(life);
+        let lost: Vec<(String, usize)> = state.from.drain().collect();
+        let process = state.process;
+        drop(state);
+        self.processes.send_replace(process);
         for (job, scheduler) in lost {
-            self.tell(
+            self.notify(
                 scheduler,
                 format!(r#"{{"id":"{job}","from":"{}","state":"lost"}}"#, name(self.number)),
             );
@@ -131,26 +138,26 @@
 
     /// It starts again, cold.
     pub fn revive(&self) {
-        self.journal.write(Seen::Started { worker: self.number });
-        let mut inside = self.inside();
-        inside.machine.crash(self.journal.now());
-        inside.manners = Manners::default();
+        self.journal.write(Observation::Started { worker: self.number });
+        let mut state = self.state();
+        state.machine.crash(self.journal.now());
+        state.misbehavior = Misbehavior::default();
     }
 
     async fn listen(self: Arc<Worker>, scheduler: usize, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let (dead, life) = {
-                let inside = self.inside();
-                (inside.manners.dead, inside.life)
+            let (dead, process) = {
+                let state = self.state();
+                (state.misbehavior.dead, state.process)
             };
             if dead {
                 continue; // the connection ends here
             }
-            let (worker, mut lives) = (self.clone(), self.lives.subscribe());
+            let (worker, mut processes) = (self.clone(), self.processes.subscribe());
             tokio::spawn(async move {
                 tokio::select! {
                     _ = worker.serve(scheduler, Wire::new(stream)) => {}
-                    _ = lives.wait_for(|now| *now != life) => {}
+                    _ = processes.wait_for(|now| *now != process) => {}
                 }
             });
         }
@@ -160,13 +167,13 @@
         while let Ok(Some(message)) = wire.message().await {
             let Line::Request(method, path) = &message.line else { return };
             let answer = match (method.as_str(), path.as_str()) {
-                ("POST", _) => match self.brought(scheduler, &message) {
+                ("POST", _) => match self.receive_job(scheduler, &message) {
                     Some(answer) => answer,
                     None => return,
                 },
                 ("DELETE", path) => {
                     let id = path.strip_prefix("/jobs/").unwrap_or("");
-                    self.inside().machine.give_up(id);
+                    self.state().machine.cancel(id);
                     wire::answer(200, &[], b"")
                 }
                 ("GET", "/metrics/load") => {
@@ -184,53 +191,53 @@
 
     /// Its load, as reports have it.
     fn report(&self) -> String {
-        let inside = self.inside();
-        format!("inflight={}, x0={}", inside.machine.jobs().0, inside.machine.free())
+        let state = self.state();
+        format!("inflight={}, x0={}", state.machine.jobs().0, state.machine.free())
     }
 
-    /// A job is brought; `None`: the connection breaks.
-    fn brought(&self, scheduler: usize, message: &wire::Message) -> Option<Vec<u8>> {
+    /// A scheduler sends a job; `None`: the connection is closed without an answer.
+    fn receive_job(&self, scheduler: usize, message: &wire::Message) -> Option<Vec<u8>> {
         let (number, id) = (self.number, message.header("X-Trace-Id").unwrap_or("").to_string());
         let left = message.header("X-Expires-In").and_then(milliseconds);
         let write = |status, may_run| {
             let job = id.clone();
-            self.journal.write(Seen::Got { job, worker: number, scheduler, status, may_run, left });
+            self.journal.write(Observation::Got { job, worker: number, scheduler, status, may_run, left });
         };
         let Some(job) = self.plan.get(&id) else {
             write(404, false);
             return Some(wire::answer(404, &[], b""));
         };
-        let mut inside = self.inside();
-        if inside.manners.refuses {
-            drop(inside);
+        let mut state = self.state();
+        if state.misbehavior.refuses {
+            drop(state);
             write(503, false);
             return Some(wire::answer(503, &[("X-Never-Ran", "1")], b""));
         }
-        let breaks = inside.manners.breaks;
+        let breaks = state.misbehavior.breaks;
         let work = Work { id: id.clone(), slots: job.slots, left: job.work };
-        let taken = inside.machine.bring(work);
-        if taken == Taken::Yes {
-            inside.from.insert(id.clone(), scheduler);
+        let taken = state.machine.submit(work);
+        if taken == Admission::Accepted {
+            state.from.insert(id.clone(), scheduler);
         }
-        drop(inside);
+        drop(state);
         match taken {
-            Taken::Yes if breaks => {
+            Admission::Accepted if breaks => {
                 write(0, true);
                 None
             }
             // One that is here already goes on.
-            Taken::Yes | Taken::Twice => {
+            Admission::Accepted | Admission::Duplicate => {
                 write(202, true);
                 Some(wire::answer(202, &[], b""))
             }
-            Taken::Full => {
+            Admission::Full => {
                 write(503, false);
                 Some(wire::answer(503, &[("X-Never-Ran", "1")], b""))
             }
         }
     }
 
-    /// The machine at work, for as long as the lab lives.
+    /// The machine at work, for as long as the test bed runs.
     async fn run(self: Arc<Worker>) {
         let mut ticks = tokio::time::interval(Duration::from_secs_f64(STEP / 1e3));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
@@ -238,61 +245,61 @@
         loop {
             ticks.tick().await;
             let now = self.journal.now();
-            let mut inside = self.inside();
-            if inside.manners.dead {
+            let mut state = self.state();
+            if state.misbehavior.dead {
                 continue;
             }
-            let (begun, done) = inside.machine.advance(now);
+            let (begun, done) = state.machine.advance(now);
             let progress = now - told >= PROGRESS;
             told = if progress { now } else { told };
-            let hangs = inside.machine.hangs;
-            let from = |inside: &Inside, id: &str| inside.from.get(id).copied();
-            let begun: Vec<_> = begun.into_iter().filter_map(|id| Some((from(&inside, &id)?, id))).collect();
+            let hangs = state.machine.hangs;
+            let from = |state: &State, id: &str| state.from.get(id).copied();
+            let begun: Vec<_> = begun.into_iter().filter_map(|id| Some((from(&state, &id)?, id))).collect();
             let done: Vec<_> =
-                done.into_iter().filter_map(|id| Some((inside.from.remove(&id)?, id))).collect();
+                done.into_iter().filter_map(|id| Some((state.from.remove(&id)?, id))).collect();
             let running: Vec<_> = match progress && !hangs {
-                true => inside.from.iter().map(|(id, s)| (*s, id.clone())).collect(),
+                true => state.from.iter().map(|(id, s)| (*s, id.clone())).collect(),
                 false => Vec::new(),
             };
-            let (_, queue) = inside.machine.jobs();
-            let now_load = (inside.machine.in_use(), queue);
-            drop(inside);
+            let (_, queue) = state.machine.jobs();
+            let now_load = (state.machine.in_use(), queue);
+            drop(state);
             if now_load != load {
                 load = now_load;
-                self.journal.write(Seen::Load { worker: self.number, slots: load.0, queue: load.1 });
+                self.journal.write(Observation::Load { worker: self.number, slots: load.0, queue: load.1 });
             }
             let from = name(self.number);
             for (scheduler, id) in running {
-                self.tell(
+                self.notify(
                     scheduler,
                     format!(r#"{{"id":"{id}","from":"{from}","state":"running","share":0.5}}"#),
                 );
             }
             for (scheduler, id) in begun {
-                self.journal.write(Seen::Begun { job: id.clone(), worker: self.number });
-                self.tell(scheduler, format!(r#"{{"id":"{id}","from":"{from}","state":"started"}}"#));
+                self.journal.write(Observation::Begun { job: id.clone(), worker: self.number });
+                self.notify(scheduler, format!(r#"{{"id":"{id}","from":"{from}","state":"started"}}"#));
             }
             for (scheduler, id) in done {
-                self.journal.write(Seen::Done { job: id.clone(), worker: self.number });
+                self.journal.write(Observation::Done { job: id.clone(), worker: self.number });
                 let load = self.report().replace("inflight=", r#""inflight":"#).replace("x0=", r#""x0":"#);
                 let result = result_of(&id);
                 let news = format!(
                     r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}","load":{{{load}}}}}"#
                 );
-                self.tell(scheduler, news);
+                self.notify(scheduler, news);
             }
         }
     }
 
     /// Tells a scheduler something, again and again until it has an answer.
-    fn tell(&self, scheduler: usize, body: String) {
-        let manners = self.inside().manners;
+    fn notify(&self, scheduler: usize, body: String) {
+        let misbehavior = self.state().misbehavior;
         let Some(addr) = self.schedulers.get(scheduler).copied() else { return };
         tokio::spawn(async move {
-            if manners.late {
+            if misbehavior.late {
                 tokio::time::sleep(Duration::from_secs(1)).await;
             }
-            for _ in 0..=usize::from(manners.twice) {
+            for _ in 0..=usize::from(misbehavior.twice) {
                 for _ in 0..TRIES {
                     match call(addr, &body).await {
                         Ok(200 | 204 | 400) => break,
--- a/crates/testbed/tests/direct.rs
+++ b/crates/testbed/tests/direct.rs
@@ -4,7 +4,7 @@
 use postusher_import::files::Disk;
 use postusher_import::{apache, mod_jk, Ajp};
 use postusher_setup::{Pool, Role, State, Worker};
-use postusher_testbed::direct::{Client, Manner, Standin};
+use postusher_testbed::direct::{Behavior, Client, StandInWorker};
 use postusher_testbed::runner::built_program;
 use postusher_testbed::schedulers::{ask, free_address, resident_kib};
 use std::collections::BTreeMap;
@@ -96,11 +96,11 @@
 }
 
 /// A stand-in for each address that pools name, put in the place of it.
-async fn stand_in(pools: &mut [Pool], delay: impl Fn(usize) -> Duration) -> BTreeMap<String, Standin> {
-    let mut all = BTreeMap::<String, Standin>::new();
+async fn stand_in(pools: &mut [Pool], delay: impl Fn(usize) -> Duration) -> BTreeMap<String, StandInWorker> {
+    let mut all = BTreeMap::<String, StandInWorker>::new();
     for worker in pools.iter_mut().flat_map(|p| &mut p.workers) {
         if !all.contains_key(&worker.addr) {
-            let new = Standin::start(&worker.addr, delay(all.len())).await.unwrap();
+            let new = StandInWorker::start(&worker.addr, delay(all.len())).await.unwrap();
             all.insert(worker.addr.clone(), new);
         }
         worker.addr = all[&worker.addr].addr.to_string();
@@ -238,7 +238,7 @@
         let answer =
             client.ask("GET /x", &[("Host", "h"), ("Cookie", "JSESSIONID=1.n4")], b"").await.unwrap();
         assert!([worker(9002), worker(9005)].contains(&answer.header("X-Worker").unwrap().to_string()));
-        assert!(stand_ins[&worker(9004)].came().is_empty());
+        assert!(stand_ins[&worker(9004)].take_requests().is_empty());
         drop(scheduler);
 
         let mut pools = imported(&samples.join("apache-hosts")).unwrap();
@@ -264,13 +264,13 @@
         let mut client = Client::new(scheduler.addr);
         let headers = [("Host", "h"), ("Cookie", "JSESSIONID=1.n1")];
         assert_eq!(client.ask("GET /", &headers, b"").await.unwrap().status(), 200);
-        stand_ins["127.0.0.1:9001"].behave(Manner::Closed);
-        stand_ins["127.0.0.1:9002"].came();
+        stand_ins["127.0.0.1:9001"].set_behavior(Behavior::RefuseConnections);
+        stand_ins["127.0.0.1:9002"].take_requests();
         for _ in 0..4 {
             let answer = client.ask("POST /", &headers, b"x").await.unwrap();
             assert!(matches!(answer.status(), 502 | 503), "{}", answer.status());
         }
-        assert!(stand_ins["127.0.0.1:9002"].came().is_empty());
+        assert!(stand_ins["127.0.0.1:9002"].take_requests().is_empty());
         drop(scheduler);
         let mut pools = imported(&samples.join("apache-redirect")).unwrap();
         let _stand_ins = stand_in(&mut pools, |_| Duration::ZERO).await;
@@ -286,28 +286,28 @@
 fn a_request_that_may_have_run_goes_again_only_where_its_method_is_safe() {
     run(async {
         let samples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../import/samples");
-        for (manner, method, statuses, attempts) in [
-            (Manner::Breaks, "POST", &[502][..], 1),
-            (Manner::Breaks, "GET", &[200], 2),
-            (Manner::BreaksInAnswer, "GET", &[], 1),
-            (Manner::Status(500), "GET", &[500], 1),
-            (Manner::Status(404), "POST", &[404], 1),
+        for (behavior, method, statuses, attempts) in [
+            (Behavior::Disconnect, "POST", &[502][..], 1),
+            (Behavior::Disconnect, "GET", &[200], 2),
+            (Behavior::DisconnectInAnswer, "GET", &[], 1),
+            (Behavior::Status(500), "GET", &[500], 1),
+            (Behavior::Status(404), "POST", &[404], 1),
         ] {
             let mut pools = imported(&samples.join("apache-two-members")).unwrap();
             let stand_ins = stand_in(&mut pools, |_| Duration::ZERO).await;
             let scheduler = Scheduler::start("repeats", &pools).await;
-            stand_ins["127.0.0.1:9001"].behave(manner);
+            stand_ins["127.0.0.1:9001"].set_behavior(behavior);
             // The first request goes to the first worker, whatever becomes of it.
             let line = format!("{method} /pay?x=1");
             let answer = Client::new(scheduler.addr).ask(&line, &[("Host", "h")], b"abc").await;
-            let came = stand_ins.values().map(|s| s.came().len()).sum::<usize>();
+            let came = stand_ins.values().map(|s| s.take_requests().len()).sum::<usize>();
             match answer {
                 Ok(answer) => {
-                    assert!(statuses.contains(&answer.status()), "{manner:?} {method}: {}", answer.status())
+                    assert!(statuses.contains(&answer.status()), "{behavior:?} {method}: {}", answer.status())
                 }
-                Err(e) => assert!(statuses.is_empty(), "{manner:?} {method}: {e}"),
+                Err(e) => assert!(statuses.is_empty(), "{behavior:?} {method}: {e}"),
             }
-            assert!(came <= attempts, "{manner:?} {method} came {came} times");
+            assert!(came <= attempts, "{behavior:?} {method} came {came} times");
         }
     });
 }
@@ -330,7 +330,7 @@
                 "request {n}"
             );
         }
-        let came = stand_ins["127.0.0.1:9002"].came();
+        let came = stand_ins["127.0.0.1:9002"].take_requests();
         assert!(came.len() == 5 && came.iter().all(|c| c.body == 3), "{came:?}");
         let figures = ask(mgmt, "GET /stats").await.unwrap();
         let figures: serde_json::Value = serde_json::from_slice(&figures.1).unwrap();
@@ -352,8 +352,8 @@
         let scheduler = Scheduler::start("standby", &pools).await;
         let had = load(scheduler.addr, "h", "/", 100, 2).await;
         assert!(!had.contains_key("127.0.0.1:9003"), "{had:?}");
-        stand_ins["127.0.0.1:9001"].behave(Manner::Closed);
-        stand_ins["127.0.0.1:9002"].behave(Manner::Closed);
+        stand_ins["127.0.0.1:9001"].set_behavior(Behavior::RefuseConnections);
+        stand_ins["127.0.0.1:9002"].set_behavior(Behavior::RefuseConnections);
         // Until both have failed, attempts may run out: these requests have their honest refusal.
         for _ in 0..5 {
             let answer = Client::new(scheduler.addr).ask("GET /", &[("Host", "h")], b"").await.unwrap();
@@ -369,10 +369,10 @@
         load(scheduler.addr, "h", "/", 50, 2).await;
         pools[0].workers[0].state = State::Draining;
         scheduler.again(&pools).await;
-        stand_ins["127.0.0.1:9001"].came();
+        stand_ins["127.0.0.1:9001"].take_requests();
         let had = load(scheduler.addr, "h", "/", 100, 4).await;
         assert_eq!(had.get("127.0.0.1:9002"), Some(&100));
-        assert!(stand_ins["127.0.0.1:9001"].came().is_empty());
+        assert!(stand_ins["127.0.0.1:9001"].take_requests().is_empty());
         // A bad file changes nothing.
         std::fs::write(&scheduler.setup, "<postusher><pool/></postusher>").unwrap();
         scheduler.signal("-HUP");
@@ -391,7 +391,7 @@
         let headers = [("Host", "Shop.example.org"), ("X-Own", "1"), ("Connection", "X-Hop"), ("X-Hop", "2")];
         let mut client = Client::new(scheduler.addr);
         assert_eq!(client.ask("PUT /shop/a?b=%20c", &headers, b"body").await.unwrap().status(), 200);
-        let came: Vec<_> = stand_ins.values().flat_map(|s| s.came()).collect();
+        let came: Vec<_> = stand_ins.values().flat_map(|s| s.take_requests()).collect();
         assert_eq!((came.len(), came[0].line.as_str(), came[0].body), (1, "PUT /ctx/v1/a?b=%20c", 4));
         let header = |name: &str| came[0].headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
         assert_eq!(
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -1,7 +1,7 @@
-//! The real program in the laboratory, in short seeded runs; and faults planted between it and its clients, which the
+//! The real program in the test bed, in short seeded runs; and faults planted between it and its clients, which the
 //! checker must find. Needs the program to be built: `cargo test --workspace` does that.
 
-use postusher_testbed::journal::{Entry, Seen};
+use postusher_testbed::journal::{Entry, Observation};
 use postusher_testbed::report::report;
 use postusher_testbed::rules::{check, Rule};
 use postusher_testbed::runner::{built_program, play, Options, Run};
@@ -65,10 +65,9 @@
     let page = std::fs::read_to_string(out("members").join("report.html")).unwrap();
     assert_eq!(page.matches("<svg").count(), 5, "the views are plotted, too");
     // The smaller side of the cut knew that it was.
-    let small = |e: &&Entry| matches!(e.seen, Seen::View { scheduler: 1 | 4, minority: true, .. });
+    let small = |e: &&Entry| matches!(e.seen, Observation::View { scheduler: 1 | 4, minority: true, .. });
     assert!(run.entries.iter().filter(small).count() >= 2);
-    let gone =
-        |e: &&Entry| matches!(&e.seen, Seen::View { scheduler: 3, states, .. } if states.contains('g'));
+    let gone = |e: &&Entry| matches!(&e.seen, Observation::View { scheduler: 3, states, .. } if states.contains('g'));
     assert!(run.entries.iter().filter(gone).count() >= 4, "a zone, a sleeper and two crashes");
 }
 
@@ -83,7 +82,8 @@
     let run = run("large-fleet", &scenario("large-fleet.toml"), None);
     let breaches = check(&run);
     assert!(breaches.is_empty(), "{breaches:?}");
-    let served = run.entries.iter().filter(|e| matches!(e.seen, Seen::Answered { status: 200, .. })).count();
+    let served =
+        run.entries.iter().filter(|e| matches!(e.seen, Observation::Answered { status: 200, .. })).count();
     assert!(served > 1_000, "{served} served");
 }
 
