--- /dev/null
+++ b/crates/testbed/src/report/figures.rs
@@ -0,0 +1,293 @@
+//! Computes the figures of a run.
+
+use super::{Believed, Report, Series, STEP_MS};
+use crate::journal::Observation;
+use crate::plan::Job;
+use crate::rules::{Breach, JobHistory, RunIndex};
+use crate::runner::Run;
+use anyhow::Result;
+use hdrhistogram::Histogram;
+use std::collections::BTreeMap;
+
+/// The longest time that a histogram takes, in microseconds: an hour.
+const MAX_MICROS: u64 = 3_600_000_000;
+/// Digits that a histogram keeps of a time.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// The percentiles of a class, as parts of 1.
+const PERCENTILES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
+/// The points of a latency curve, as parts of 1.
+const CURVE: [f64; 12] = [0.0, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.98, 0.99, 0.995, 0.999, 1.0];
+
+/// How times are distributed, in milliseconds.
+#[derive(Default)]
+struct Distribution {
+    /// The values at [`PERCENTILES`].
+    percentiles: [f64; 4],
+    /// Parts of 1 and the values there.
+    curve: Vec<(f64, f64)>,
+}
+
+impl Distribution {
+    fn of(values: &[f64]) -> Result<Distribution> {
+        let mut histogram = Histogram::<u64>::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)?;
+        if values.is_empty() {
+            return Ok(Distribution::default());
+        }
+        for millis in values {
+            histogram.saturating_record((millis * 1e3).max(1.0) as u64);
+        }
+        let at = |part: f64| histogram.value_at_quantile(part) as f64 / 1e3;
+        Ok(Distribution {
+            percentiles: PERCENTILES.map(at),
+            curve: CURVE.map(|part| (part, at(part))).to_vec(),
+        })
+    }
+}
+
+/// The times of jobs while they are collected, in milliseconds.
+#[derive(Default)]
+struct Times {
+    /// From the sending or the readiness of served jobs to their answers, by class.
+    latencies: BTreeMap<String, Vec<f64>>,
+    /// From the readiness of deferred jobs to their first arrival at a worker.
+    waits: Vec<f64>,
+    /// Jobs that are not deferred and were rejected.
+    fresh_rejected: usize,
+}
+
+/// Computes the report of a run.
+///
+/// # Errors
+/// A figure is out of bounds.
+pub fn report(run: &Run, seed: u64, breaches: Vec<Breach>) -> Result<Report> {
+    let index = RunIndex::new(run);
+    let mut report = Report {
+        about: run.scenario.about.clone(),
+        seed,
+        seconds: run.scenario.seconds,
+        breaches,
+        answers: [usize::MAX, 0],
+        ..Report::default()
+    };
+    let mut times = Times::default();
+    for (job, history) in index.jobs() {
+        let Some(sent) = history.sent else { continue };
+        add_job(&mut report, &mut times, &run.scenario.class[job.class].name, job, history);
+        let ready = index.ready(job, history);
+        if history.status() == Some(200) {
+            let from = if job.waits() { ready.unwrap_or(sent) } else { sent };
+            let took = history.answered().unwrap_or(from) - from;
+            let class = &run.scenario.class[job.class].name;
+            times.latencies.entry(class.clone()).or_default().push(took.max(0.0));
+        }
+        if job.waits() {
+            add_deferred_job(&mut report, &mut times, history, ready);
+        }
+    }
+    if report.answers[0] == usize::MAX {
+        report.answers[0] = 0;
+    }
+    report.fresh_refused = times.fresh_rejected as f64 / report.fresh.max(1) as f64;
+    for (class, values) in times.latencies {
+        let distribution = Distribution::of(&values)?;
+        let class = report.classes.entry(class).or_default();
+        class.latency = distribution.percentiles;
+        class.curve = distribution.curve;
+    }
+    let [median, _, p99, _] = Distribution::of(&times.waits)?.percentiles;
+    report.waiting.wait = [median, p99, times.waits.iter().copied().fold(0.0, f64::max)];
+    add_series(run, &mut report);
+    report.believed = believed(run);
+    Ok(report)
+}
+
+/// Counts a job that was sent.
+fn add_job(report: &mut Report, times: &mut Times, class: &str, job: &Job, history: &JobHistory) {
+    let status = history.status();
+    let is_rejected = matches!(status, Some(429 | 503));
+    let class = report.classes.entry(class.to_string()).or_default();
+    report.jobs += 1;
+    class.sent += 1;
+    match status {
+        Some(200) => class.served += 1,
+        Some(429 | 503) => class.refused += 1,
+        Some(_) => class.failed += 1,
+        None => class.other += 1,
+    }
+    if let Some(status) = status {
+        *class.statuses.entry(status).or_default() += 1;
+    }
+    let client_stayed = !history
+        .ends
+        .iter()
+        .any(|(_, end)| matches!(end, Observation::Left { .. } | Observation::Broken { .. }));
+    if client_stayed {
+        let is_answer = |end: &&(f64, &Observation)| matches!(end.1, Observation::Answered { .. });
+        let answers = history.ends.iter().filter(is_answer).count();
+        report.answers = [report.answers[0].min(answers), report.answers[1].max(answers)];
+    }
+    if !job.waits() {
+        report.fresh += 1;
+        times.fresh_rejected += usize::from(is_rejected);
+    }
+}
+
+/// Counts a deferred job.
+fn add_deferred_job(report: &mut Report, times: &mut Times, history: &JobHistory, ready: Option<f64>) {
+    let waiting = &mut report.waiting;
+    waiting.sent += 1;
+    match history.status() {
+        Some(200) => waiting.served += 1,
+        Some(424) => {
+            waiting.doomed += 1;
+            // As far as its scheduler knew, it never came ready.
+            return;
+        }
+        Some(503) => waiting.refused += 1,
+        Some(_) | None => {}
+    }
+    let first_arrival = history.got.first().map(|(at, ..)| *at);
+    let Some(wait_end) = first_arrival.or(history.answered()) else { return };
+    let Some(ready) = ready else { return };
+    // One that was rejected before it came ready has not waited for the fleet.
+    if wait_end >= ready || first_arrival.is_some() {
+        waiting.ready += 1;
+        times.waits.push((wait_end - ready).max(0.0));
+    }
+}
+
+/// What a member showed at a time.
+struct View<'a> {
+    at: f64,
+    /// A letter for each member.
+    states: &'a str,
+    minority: bool,
+}
+
+/// What each member believed of each other, in stretches of time.
+fn believed(run: &Run) -> Vec<Believed> {
+    let members = run.scenario.schedulers;
+    let end = run.entries.last().map_or(0.0, |entry| entry.at);
+    let mut all = Vec::<Believed>::new();
+    for by in 0..members {
+        let views = views_of(run, by);
+        for of in 0..members {
+            for (number, view) in views.iter().enumerate() {
+                let to = views.get(number + 1).map_or(end, |next| next.at);
+                let state = believed_state(view, by, of);
+                match all.last_mut() {
+                    Some(last) if last.by == by && last.of == of && last.state == state => last.to = to,
+                    _ => all.push(Believed { by, of, from: view.at, to, state }),
+                }
+            }
+        }
+    }
+    all
+}
+
+fn views_of(run: &Run, member: usize) -> Vec<View<'_>> {
+    let mut views = Vec::new();
+    for entry in &run.entries {
+        if let Observation::View { scheduler, states, minority } = &entry.seen {
+            if *scheduler == member {
+                views.push(View { at: entry.at, states, minority: *minority });
+            }
+        }
+    }
+    views
+}
+
+fn believed_state(view: &View, by: usize, of: usize) -> char {
+    if by != of {
+        return view.states.chars().nth(of).unwrap_or('-');
+    }
+    if view.minority {
+        'm'
+    } else {
+        'a'
+    }
+}
+
+/// The number of the step that a time is in.
+fn step(at: f64) -> usize {
+    (at / STEP_MS).max(0.0) as usize
+}
+
+/// Slots in use at a worker since a time.
+#[derive(Clone, Copy, Default)]
+struct Usage {
+    since: f64,
+    slots: u32,
+}
+
+/// Adds up the mean load of workers over time.
+struct LoadSeries {
+    usage: Vec<Usage>,
+}
+
+impl LoadSeries {
+    /// Closes the stretch until a time; from then on the worker uses so many slots.
+    fn change(&mut self, load: &mut [Vec<f64>], worker: usize, until: f64, slots: u32) {
+        let Usage { mut since, slots: used } = self.usage[worker];
+        while since < until {
+            let step_end = (step(since) + 1) as f64 * STEP_MS;
+            let end = step_end.min(until);
+            if let Some(cell) = load[worker].get_mut(step(since)) {
+                *cell += f64::from(used) * (end - since) / STEP_MS;
+            }
+            since = end;
+        }
+        self.usage[worker] = Usage { since: until, slots };
+    }
+}
+
+/// Jobs at a scheduler, by its latest figures.
+#[derive(Clone, Copy, Default)]
+struct JobsAtScheduler {
+    held: f64,
+    in_flight: f64,
+}
+
+/// Computes what is plotted over time, and what is best read from the entries in order.
+fn add_series(run: &Run, report: &mut Report) {
+    let end = run.entries.last().map_or(0.0, |entry| entry.at);
+    let steps = step(end) + 1;
+    let workers = run.scenario.fleet.workers;
+    let mut series = Series {
+        answers: vec![[0.0; 3]; steps],
+        held: vec![0.0; steps],
+        in_flight: vec![0.0; steps],
+        load: vec![vec![0.0; steps]; workers],
+    };
+    let mut latest = vec![JobsAtScheduler::default(); run.scenario.schedulers];
+    let mut loads = LoadSeries { usage: vec![Usage::default(); workers] };
+    let mut noted = 0;
+    for entry in &run.entries {
+        let now = step(entry.at);
+        while noted < now {
+            noted += 1;
+            series.held[noted] = latest.iter().fold(0.0, |sum, jobs| sum + jobs.held);
+            series.in_flight[noted] = latest.iter().fold(0.0, |sum, jobs| sum + jobs.in_flight);
+        }
+        match &entry.seen {
+            Observation::Answered { status: 200, .. } => series.answers[now][0] += 1.0,
+            Observation::Answered { status: 429 | 503, .. } => series.answers[now][1] += 1.0,
+            Observation::Answered { .. } => series.answers[now][2] += 1.0,
+            Observation::Figures { scheduler, held, in_flight, resident_kib, .. } => {
+                latest[*scheduler] = JobsAtScheduler { held: *held as f64, in_flight: *in_flight as f64 };
+                report.most_held = report.most_held.max(*held);
+                report.most_resident_kib = report.most_resident_kib.max(*resident_kib);
+            }
+            Observation::Load { worker, slots, .. } => {
+                loads.change(&mut series.load, *worker, entry.at, *slots);
+            }
+            Observation::Died { worker } => loads.change(&mut series.load, *worker, entry.at, 0),
+            Observation::Fault { what } => report.faults.push((entry.at, what.clone())),
+            _ => {}
+        }
+    }
+    for worker in 0..workers {
+        loads.change(&mut series.load, worker, end, 0);
+    }
+    report.series = series;
+}
--- /dev/null
+++ b/crates/testbed/src/report/plots.rs
@@ -0,0 +1,199 @@
+//! Draws the plots of a report as SVG.
+
+use super::{Report, STEP_MS};
+use anyhow::Result;
+use plotters::backend::SVGBackend;
+use plotters::chart::ChartBuilder;
+use plotters::drawing::IntoDrawingArea;
+use plotters::element::{PathElement, Rectangle};
+use plotters::series::LineSeries;
+use plotters::style::{Color, Palette, Palette99, RGBColor, BLACK, WHITE};
+
+/// Width and height of a plot of lines, in pixels.
+const LINES_SIZE: (u32, u32) = (900, 300);
+/// More lines have no legend.
+const MAX_LEGEND_ENTRIES: usize = 12;
+/// Width of the strips, in pixels.
+const STRIPS_WIDTH: u32 = 900;
+/// Height of the strips' caption and axis, in pixels.
+const STRIPS_MARGIN: u32 = 90;
+/// Height of one strip, in pixels.
+const STRIP_HEIGHT: u32 = 7;
+/// Latency curves end here, as a part of 1: the scale has no place for 1.
+const LAST_PERCENTILE: f64 = 0.9999;
+const STRIPS_CAPTION: &str =
+    "views of members: green alive, yellow suspect, red gone, grey left, blue: knows it is the smaller side";
+
+/// The points of a line.
+type Points = Vec<(f64, f64)>;
+
+/// A line of a plot.
+struct Line {
+    name: String,
+    points: Points,
+}
+
+/// A plot of lines.
+struct LinePlot<'a> {
+    title: &'a str,
+    x: &'a str,
+    y: &'a str,
+    lines: Vec<Line>,
+}
+
+/// The plots of one or several runs, side by side in each.
+pub fn plots(runs: &[(&str, &Report)]) -> Result<Vec<String>> {
+    let plot = |title, x, y| LinePlot { title, x, y, lines: Vec::new() };
+    let mut answers = plot("answers", "seconds", "a second");
+    let mut jobs = plot("jobs held and in flight", "seconds", "jobs");
+    let mut curves = plot("latency of served jobs by class", "nines (1: 90%, 2: 99%)", "ms");
+    let mut load = plot("slots in use by worker", "seconds", "slots");
+    let mut fault_times = Vec::new();
+    for (run, report) in runs {
+        let series = &report.series;
+        for (n, outcome) in ["served", "refused", "failed"].iter().enumerate() {
+            let rates = series.answers.iter().map(|counts| counts[n] * 1e3 / STEP_MS);
+            answers.lines.push(Line { name: label(run, outcome), points: over_time(rates) });
+        }
+        let held = over_time(series.held.iter().copied());
+        jobs.lines.push(Line { name: label(run, "held"), points: held });
+        let in_flight = over_time(series.in_flight.iter().copied());
+        jobs.lines.push(Line { name: label(run, "in flight"), points: in_flight });
+        for (class, figures) in &report.classes {
+            let points = figures.curve.iter().map(|(part, millis)| (nines(*part), *millis)).collect();
+            curves.lines.push(Line { name: label(run, class), points });
+        }
+        for (n, slots) in series.load.iter().enumerate() {
+            let points = over_time(slots.iter().copied());
+            load.lines.push(Line { name: label(run, &format!("worker {n}")), points });
+        }
+        fault_times.extend(report.faults.iter().map(|(at, _)| at / 1e3));
+    }
+    let mut all = vec![
+        answers.draw(&fault_times)?,
+        jobs.draw(&fault_times)?,
+        curves.draw(&[])?,
+        load.draw(&fault_times)?,
+    ];
+    for (_, report) in runs {
+        if !report.believed.is_empty() {
+            all.push(draw_strips(report)?);
+        }
+    }
+    Ok(all)
+}
+
+/// The name of a line; that of the run comes first where there are several.
+fn label(run: &str, what: &str) -> String {
+    if run.is_empty() {
+        return what.to_string();
+    }
+    format!("{run}: {what}")
+}
+
+/// Values of steps as points over seconds.
+fn over_time(values: impl Iterator<Item = f64>) -> Points {
+    values.enumerate().map(|(step, value)| (step as f64 * STEP_MS / 1e3, value)).collect()
+}
+
+/// A percentile on a logarithmic scale: 0.9 is 1, 0.99 is 2.
+fn nines(part: f64) -> f64 {
+    -(1.0 - part.min(LAST_PERCENTILE)).log10()
+}
+
+impl LinePlot<'_> {
+    /// Draws the lines, and a vertical one at each of these times.
+    fn draw(&self, marks: &[f64]) -> Result<String> {
+        let mut svg = String::new();
+        {
+            let area = SVGBackend::with_string(&mut svg, LINES_SIZE).into_drawing_area();
+            let points = || self.lines.iter().flat_map(|line| &line.points);
+            let max_x = points().map(|(x, _)| *x).fold(0.0, f64::max).max(1e-3);
+            let max_y = points().map(|(_, y)| *y).fold(0.0, f64::max).max(1.0) * 1.05;
+            let mut chart = ChartBuilder::on(&area)
+                .caption(self.title, ("sans-serif", 18))
+                .margin(8)
+                .x_label_area_size(32)
+                .y_label_area_size(52)
+                .build_cartesian_2d(0.0..max_x, 0.0..max_y)?;
+            chart.configure_mesh().x_desc(self.x).y_desc(self.y).light_line_style(WHITE).draw()?;
+            for at in marks {
+                chart.draw_series(LineSeries::new([(*at, 0.0), (*at, max_y)], BLACK.mix(0.3)))?;
+            }
+            let has_legend = self.lines.len() <= MAX_LEGEND_ENTRIES;
+            for (n, line) in self.lines.iter().enumerate() {
+                let color = Palette99::pick(n).to_rgba();
+                let points = line.points.iter().copied();
+                let drawn = chart.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
+                if has_legend {
+                    drawn
+                        .label(&line.name)
+                        .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
+                }
+            }
+            if has_legend {
+                chart
+                    .configure_series_labels()
+                    .background_style(WHITE.mix(0.8))
+                    .border_style(BLACK)
+                    .draw()?;
+            }
+            area.present()?;
+        }
+        Ok(svg)
+    }
+}
+
+/// Draws a strip for each member's view of each other over time.
+fn draw_strips(report: &Report) -> Result<String> {
+    let members = report.believed.iter().map(|b| b.by.max(b.of) + 1).max().unwrap_or(0);
+    let end = report.believed.iter().map(|b| b.to).fold(0.0, f64::max) / 1e3;
+    let rows = members * members;
+    let mut svg = String::new();
+    {
+        let height = STRIPS_MARGIN + STRIP_HEIGHT * rows as u32;
+        let area = SVGBackend::with_string(&mut svg, (STRIPS_WIDTH, height)).into_drawing_area();
+        let mut chart = ChartBuilder::on(&area)
+            .caption(STRIPS_CAPTION, ("sans-serif", 14))
+            .margin(8)
+            .x_label_area_size(32)
+            .y_label_area_size(90)
+            .build_cartesian_2d(0.0..end.max(1e-3), 0.0..rows as f64)?;
+        let row_label = |y: &f64| strip_label(*y as usize, members);
+        let mut mesh = chart.configure_mesh();
+        mesh.x_desc("seconds").y_labels(members + 1).y_label_formatter(&row_label).draw()?;
+        chart.draw_series(report.believed.iter().map(|b| {
+            let row = (b.by * members + b.of) as f64;
+            let corners = [(b.from / 1e3, row + 0.1), (b.to / 1e3, row + 0.9)];
+            Rectangle::new(corners, state_color(b.state).filled())
+        }))?;
+        for (at, _) in &report.faults {
+            let line = [(at / 1e3, 0.0), (at / 1e3, rows as f64)];
+            chart.draw_series(LineSeries::new(line, BLACK.mix(0.6)))?;
+        }
+        area.present()?;
+    }
+    Ok(svg)
+}
+
+/// The label of a strip: the member's name at its first one.
+fn strip_label(row: usize, members: usize) -> String {
+    let by = row / members.max(1);
+    let of = row % members.max(1);
+    if of == 0 && by < members {
+        return format!("s{by} of all");
+    }
+    String::new()
+}
+
+/// The colour of a state; the letters are those of [`crate::journal::Observation::View`].
+fn state_color(state: char) -> RGBColor {
+    match state {
+        'a' => RGBColor(130, 190, 130),
+        's' => RGBColor(240, 200, 60),
+        'g' => RGBColor(200, 60, 50),
+        'l' => RGBColor(150, 150, 150),
+        'm' => RGBColor(70, 110, 200),
+        _ => WHITE,
+    }
+}
