--- a/crates/testbed/src/journal.rs
+++ b/crates/testbed/src/journal.rs
@@ -1,84 +1,180 @@
-//! What the peers have seen, in one order: the only thing that rules and reports go by.
+//! What the stand-ins have seen, in one order: the only source of rules and reports.
 
 use serde::{Deserialize, Serialize};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Something that a peer has seen or done.
+/// Something that a stand-in or the test bed has seen or done. Schedulers and workers are named by their numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Observation {
     /// A client has sent a job whole.
-    Sent { job: String },
-    /// A client has had an answer: its status, and whether the body is what a worker made for this job.
-    Answered { job: String, status: u16, own: bool, retry_after: Option<f64> },
-    /// A client's connection ended without an answer; `unheard`: it was a kept one that had ended as the client sent, and nobody
-    /// listens for another.
-    Broken { job: String, scheduler: usize, unheard: bool },
-    /// A client left.
-    Left { job: String },
-    /// Bytes came on a client's connection that nobody had asked for.
-    Surplus { scheduler: usize, bytes: usize },
-    /// A client's time was over and nothing had come.
-    Unanswered { job: String },
-    /// A worker has read a job whole; what it said, and whether it took it.
+    Sent {
+        /// The job's id.
+        job: String,
+    },
+    /// A client has received an answer.
+    Answered {
+        /// The job's id.
+        job: String,
+        /// The status.
+        status: u16,
+        /// The body is what a worker made for this job.
+        own: bool,
+        /// The `Retry-After` header, in seconds.
+        retry_after: Option<f64>,
+    },
+    /// A client's connection ended without an answer.
+    Broken {
+        /// The job's id.
+        job: String,
+        /// The scheduler.
+        scheduler: usize,
+        /// It was a kept connection that had ended when the client sent, and no new one can be opened.
+        unheard: bool,
+    },
+    /// A client has left.
+    Left {
+        /// The job's id.
+        job: String,
+    },
+    /// Bytes arrived on a client's connection that answer nothing.
+    Surplus {
+        /// The scheduler.
+        scheduler: usize,
+        /// How many.
+        bytes: usize,
+    },
+    /// A client's time was over without an answer.
+    Unanswered {
+        /// The job's id.
+        job: String,
+    },
+    /// A worker has read a job whole and answered.
     Got {
+        /// The job's id.
         job: String,
+        /// The worker.
         worker: usize,
+        /// The scheduler that sent it.
         scheduler: usize,
+        /// The worker's answer; 0 where it closed the connection instead.
         status: u16,
+        /// The worker has accepted it, so that it may run.
         may_run: bool,
-        /// The time that it was told is left, in milliseconds.
+        /// The time that the worker was told is left, in milliseconds.
         left: Option<f64>,
     },
     /// A worker has begun a job.
-    Begun { job: String, worker: usize },
-    /// A worker has done a job, before anyone was told.
-    Done { job: String, worker: usize },
-    /// A scheduler has read that a worker drains, or that it is back.
-    Told { worker: usize, scheduler: usize, drains: bool },
-    /// A worker has started, cold.
-    Started { worker: usize },
-    /// A worker has ended.
-    Died { worker: usize },
-    /// A scheduler takes clients.
-    Up { scheduler: usize },
+    Begun {
+        /// The job's id.
+        job: String,
+        /// The worker.
+        worker: usize,
+    },
+    /// A worker has finished a job and told nobody yet.
+    Done {
+        /// The job's id.
+        job: String,
+        /// The worker.
+        worker: usize,
+    },
+    /// A scheduler has read whether a worker drains.
+    Told {
+        /// The worker.
+        worker: usize,
+        /// The scheduler.
+        scheduler: usize,
+        /// Whether it drains.
+        drains: bool,
+    },
+    /// A worker has started, in slow start.
+    Started {
+        /// The worker.
+        worker: usize,
+    },
+    /// A worker's process has ended.
+    Died {
+        /// The worker.
+        worker: usize,
+    },
+    /// A scheduler accepts clients.
+    Up {
+        /// The scheduler.
+        scheduler: usize,
+    },
     /// A scheduler was killed outright.
-    Killed { scheduler: usize },
-    /// A scheduler was told to end.
-    Terminated { scheduler: usize },
-    /// A scheduler has ended by itself, with this exit code.
-    Exited { scheduler: usize, code: Option<i32> },
+    Killed {
+        /// The scheduler.
+        scheduler: usize,
+    },
+    /// A scheduler was sent SIGTERM.
+    Terminated {
+        /// The scheduler.
+        scheduler: usize,
+    },
+    /// A scheduler has ended by itself.
+    Exited {
+        /// The scheduler.
+        scheduler: usize,
+        /// Its exit code; `None` where a signal ended it.
+        code: Option<i32>,
+    },
     /// Figures of a scheduler.
     Figures {
+        /// The scheduler.
         scheduler: usize,
+        /// Deferred jobs that it holds.
         held: u64,
+        /// Jobs that are pending at workers.
         in_flight: u64,
+        /// Deferred jobs that it has released.
         released: u64,
+        /// The longest wait of a deferred job that is ready, in milliseconds.
         longest_wait_ms: u64,
+        /// Resident memory, in KiB.
         resident_kib: u64,
     },
-    /// What a scheduler believes of all: the state of each by its number, in a letter (alive, suspect, gone, left, or
-    /// unknown: `-`); told when it has changed.
-    View { scheduler: usize, states: String, minority: bool },
-    /// Slots in use at a worker, and jobs that wait there.
-    Load { worker: usize, slots: u32, queue: usize },
-    /// The test bed itself stalled for so long until now, in milliseconds: what it saw then, it saw late.
-    Stalled { ms: f64 },
-    /// A fault of the script begins.
-    Fault { what: String },
+    /// What a scheduler believes of all members, noted when it has changed.
+    View {
+        /// The scheduler.
+        scheduler: usize,
+        /// A letter for each member by number: alive, suspect, gone, left, or `-` for unknown.
+        states: String,
+        /// It knows to be in the minority.
+        minority: bool,
+    },
+    /// The load of a worker.
+    Load {
+        /// The worker.
+        worker: usize,
+        /// Slots in use.
+        slots: u32,
+        /// Jobs in its queue.
+        queue: usize,
+    },
+    /// The test bed itself stalled until now: what it saw in this time, it saw late.
+    Stalled {
+        /// For how long, in milliseconds.
+        ms: f64,
+    },
+    /// A fault of the scenario begins.
+    Fault {
+        /// Its kind and whom it concerns.
+        what: String,
+    },
 }
 
-/// Something seen at a time, in milliseconds from the start.
+/// An observation with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When.
+    /// Milliseconds since the start.
     pub at: f64,
-    /// What.
+    /// The observation.
     pub seen: Observation,
 }
 
-/// The journal, shared by all peers.
+/// The journal, which all parties share.
 #[derive(Clone)]
 pub struct Journal {
     start: Instant,
@@ -97,23 +193,23 @@
         self.start.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The moment that lies so many milliseconds after the start.
+    /// The moment that is so many milliseconds after the start.
     pub fn moment(&self, at: f64) -> Instant {
         self.start + Duration::from_secs_f64(at.max(0.0) / 1e3)
     }
 
-    /// Writes down what was seen just now.
+    /// Adds an observation of this moment.
     pub fn write(&self, seen: Observation) {
         let mut entries = match self.entries.lock() {
             Ok(entries) => entries,
-            Err(poisoned) => poisoned.into_inner(), // whole entries only are ever written
+            Err(poisoned) => poisoned.into_inner(), // an entry is written whole or not at all
         };
         // Under the lock, so that the order of the entries is that of their times.
         let at = self.now();
         entries.push(Entry { at, seen });
     }
 
-    /// All that was seen so far.
+    /// All observations so far.
     pub fn entries(&self) -> Vec<Entry> {
         match self.entries.lock() {
             Ok(entries) => entries.clone(),
