--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,6 +1,9 @@
 //! All jobs of a run, drawn ahead from the seed alone: the same seed brings the same jobs at the same times.
 
-use crate::scenario::{By, Scenario};
+#[cfg(test)]
+mod tests;
+
+use crate::scenario::{ReadyBy, Scenario};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -152,15 +155,15 @@
                 job.patience = ready - job.at + b.patience_s * 1e3;
                 job.backlog = true;
                 match b.by {
-                    By::Hour => job.start = Some(ready),
-                    By::Job => {
+                    ReadyBy::Hour => job.start = Some(ready),
+                    ReadyBy::Job => {
                         job.after.push((hub.id.clone(), false));
                         job.home = hub.home;
                     }
                 }
                 jobs.push(job);
             }
-            if b.by == By::Job {
+            if b.by == ReadyBy::Job {
                 jobs.push(hub);
             }
         }
@@ -180,20 +183,3 @@
         Plan { jobs, index }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn one_seed_draws_one_plan_and_another_seed_another() {
-        let scenario = Scenario::read(crate::bench::tests::SMALL).unwrap();
-        let (a, b, c) = (Plan::draw(&scenario, 7), Plan::draw(&scenario, 7), Plan::draw(&scenario, 8));
-        assert!(a.jobs == b.jobs && a.jobs != c.jobs);
-        let expected = scenario.capacity() * scenario.load * scenario.seconds;
-        assert!((a.jobs.len() as f64) > 0.6 * expected && (a.jobs.len() as f64) < 1.6 * expected + 50.0);
-        let named = a.jobs.iter().flat_map(|j| j.after.iter().map(move |(n, _)| (j, n)));
-        assert!(named.clone().count() > 5);
-        named.for_each(|(j, n)| assert!(a.get(n).unwrap().at <= j.at));
-    }
-}
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -2,6 +2,9 @@
 //! be cut, be lossy, slow, double and reorder; datagrams and connections alike. A process has two addresses, its own and the
 //! one by which others know it; the latter is the relay's.
 
+#[cfg(test)]
+mod tests;
+
 use anyhow::{Context, Result};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -17,7 +20,7 @@
 
 /// What all links do to datagrams; connections are as late, and what is lost on them is sent again after a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkConditions {
     /// Part that is lost.
     pub loss: f64,
     /// Part that comes twice.
@@ -29,8 +32,8 @@
 }
 
 /// What can be seen and set while all runs.
-struct Sky {
-    weather: Weather,
+struct RelayState {
+    conditions: LinkConditions,
     cut: BTreeSet<(usize, usize)>,
     /// Connections on these are reset.
     reset: BTreeSet<(usize, usize)>,
@@ -46,7 +49,7 @@
     pub own: Vec<SocketAddr>,
     /// Where others reach it.
     pub known: Vec<SocketAddr>,
-    sky: Mutex<Sky>,
+    state: Mutex<RelayState>,
 }
 
 /// What is lost on a connection is sent again after this time, in milliseconds (Linux's least).
@@ -76,15 +79,15 @@
                 .push((listener, Arc::new(UdpSocket::bind(addr).await.with_context(|| format!("{addr}"))?)));
             known.push(addr);
         }
-        let sky = Sky {
-            weather: Weather::default(),
+        let state = RelayState {
+            conditions: LinkConditions::default(),
             cut: BTreeSet::new(),
             reset: BTreeSet::new(),
             carried: BTreeMap::new(),
             begun: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
-        let relay = Arc::new(Relay { own, known, sky: Mutex::new(sky) });
+        let relay = Arc::new(Relay { own, known, state: Mutex::new(state) });
         let datagrams: Vec<Arc<UdpSocket>> = sockets.iter().map(|(_, udp)| udp.clone()).collect();
         for (to, (listener, _)) in sockets.into_iter().enumerate() {
             tokio::spawn(relay.clone().datagrams(to, datagrams.clone()));
@@ -93,63 +96,63 @@
         Ok(relay)
     }
 
-    fn sky(&self) -> MutexGuard<'_, Sky> {
-        match self.sky.lock() {
-            Ok(sky) => sky,
+    fn state(&self) -> MutexGuard<'_, RelayState> {
+        match self.state.lock() {
+            Ok(state) => state,
             Err(poisoned) => poisoned.into_inner(), // a panic elsewhere; the run fails by that
         }
     }
 
     /// All links from now on.
-    pub fn weather(&self, weather: Weather) {
-        self.sky().weather = weather;
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        self.state().conditions = conditions;
     }
 
     /// Cuts the ways from some to others, or makes them whole again; the ways back stay as they are.
     pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
-        let mut sky = self.sky();
+        let mut state = self.state();
         for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if cut { sky.cut.insert(pair) } else { sky.cut.remove(&pair) };
+            let _ = if cut { state.cut.insert(pair) } else { state.cut.remove(&pair) };
         }
     }
 
     /// Has connections from some to others reset as soon as they come, or no more.
     pub fn reset(&self, from: &[usize], to: &[usize], on: bool) {
-        let mut sky = self.sky();
+        let mut state = self.state();
         for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if on { sky.reset.insert(pair) } else { sky.reset.remove(&pair) };
+            let _ = if on { state.reset.insert(pair) } else { state.reset.remove(&pair) };
         }
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.sky().cut.contains(&(from, to))
+        self.state().cut.contains(&(from, to))
     }
 
     /// When copies of a datagram are to be handed on; none where it is lost.
     fn fate(&self, from: usize, to: usize) -> Vec<Duration> {
-        let mut sky = self.sky();
-        let Weather { loss, twice, delay_ms, limit } = sky.weather;
+        let mut state = self.state();
+        let LinkConditions { loss, twice, delay_ms, limit } = state.conditions;
         if limit > 0 {
-            let second = sky.begun.elapsed().as_secs();
-            let carried = sky.carried.entry((from, to)).or_default();
+            let second = state.begun.elapsed().as_secs();
+            let carried = state.carried.entry((from, to)).or_default();
             *carried = if carried.0 == second { (second, carried.1 + 1) } else { (second, 1) };
             if carried.1 > limit {
                 return Vec::new();
             }
         }
-        if sky.cut.contains(&(from, to)) || sky.rng.random::<f64>() < loss {
+        if state.cut.contains(&(from, to)) || state.rng.random::<f64>() < loss {
             return Vec::new();
         }
-        let copies = 1 + usize::from(sky.rng.random::<f64>() < twice);
-        (0..copies).map(|_| Duration::from_secs_f64(delay_ms * sky.rng.random::<f64>() / 1e3)).collect()
+        let copies = 1 + usize::from(state.rng.random::<f64>() < twice);
+        (0..copies).map(|_| Duration::from_secs_f64(delay_ms * state.rng.random::<f64>() / 1e3)).collect()
     }
 
     /// How late the next piece of a connection is.
     fn lag(&self) -> Duration {
-        let mut sky = self.sky();
-        let Weather { loss, delay_ms, .. } = sky.weather;
-        let mut ms = delay_ms * sky.rng.random::<f64>();
-        while sky.rng.random::<f64>() < loss {
+        let mut state = self.state();
+        let LinkConditions { loss, delay_ms, .. } = state.conditions;
+        let mut ms = delay_ms * state.rng.random::<f64>();
+        while state.rng.random::<f64>() < loss {
             ms += SENT_AGAIN_MS;
         }
         Duration::from_secs_f64(ms / 1e3)
@@ -180,7 +183,7 @@
 
     /// A cut link is silent: the connection is up, and nothing comes.
     async fn connection(self: Arc<Relay>, from: usize, to: usize, stream: TcpStream) {
-        if self.sky().reset.contains(&(from, to)) {
+        if self.state().reset.contains(&(from, to)) {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // a reset in place of an end
             return;
         }
@@ -203,66 +206,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test]
-    async fn each_ordered_pair_is_a_link_of_its_own_for_datagrams_and_connections() {
-        let relay = Relay::start(2, 1).await.unwrap();
-        let a = UdpSocket::bind(relay.own[0]).await.unwrap();
-        let b = UdpSocket::bind(relay.own[1]).await.unwrap();
-        let mut bytes = [0; 16];
-        a.send_to(b"one", relay.known[1]).await.unwrap();
-        let (n, source) = b.recv_from(&mut bytes).await.unwrap();
-        assert_eq!((&bytes[..n], source), (&b"one"[..], relay.known[0]), "it comes from where a is known");
-        relay.cut(&[0], &[1], true);
-        a.send_to(b"lost", relay.known[1]).await.unwrap();
-        b.send_to(b"back", source).await.unwrap();
-        let (n, _) = a.recv_from(&mut bytes).await.unwrap();
-        assert_eq!(&bytes[..n], b"back", "the way back is whole");
-        relay.cut(&[0], &[1], false);
-        a.send_to(b"two", relay.known[1]).await.unwrap();
-        let (n, _) = b.recv_from(&mut bytes).await.unwrap();
-        assert_eq!(&bytes[..n], b"two", "what was sent over the cut link is lost for good");
-
-        let listener = TcpListener::bind(relay.own[1]).await.unwrap();
-        let socket = TcpSocket::new_v4().unwrap();
-        socket.bind(SocketAddr::from((relay.own[0].ip(), 0))).unwrap();
-        let mut here = socket.connect(relay.known[1]).await.unwrap();
-        here.write_all(b"state").await.unwrap();
-        let (mut there, source) = listener.accept().await.unwrap();
-        let n = there.read(&mut bytes).await.unwrap();
-        assert_eq!((&bytes[..n], source.ip()), (&b"state"[..], relay.known[0].ip()));
-        relay.reset(&[0], &[1], true);
-        let socket = TcpSocket::new_v4().unwrap();
-        socket.bind(SocketAddr::from((relay.own[0].ip(), 0))).unwrap();
-        let mut here = socket.connect(relay.known[1]).await.unwrap();
-        assert!(here.read(&mut bytes).await.is_err(), "reset, not ended");
-    }
-
-    #[tokio::test]
-    async fn weather_loses_and_doubles_by_its_seed() {
-        let relay = Relay::start(2, 7).await.unwrap();
-        relay.weather(Weather { loss: 0.3, twice: 0.2, delay_ms: 5.0, limit: 0 });
-        let fates: Vec<usize> = (0..2_000).map(|_| relay.fate(0, 1).len()).collect();
-        let part = |n: usize| fates.iter().filter(|f| **f == n).count() as f64 / 2_000.0;
-        relay.weather(Weather { limit: 3, ..Weather::default() });
-        let carried: usize = (0..100).map(|_| relay.fate(1, 0).len()).sum();
-        assert!((3..=6).contains(&carried), "three in each second that it took: {carried}");
-        relay.weather(Weather { loss: 0.3, ..Weather::default() });
-        let again =
-            (0..2_000).map(|_| relay.lag().as_secs_f64() * 1e3 / SENT_AGAIN_MS).sum::<f64>() / 2_000.0;
-        assert!(
-            (again - 0.3 / 0.7).abs() < 0.06,
-            "sent again {again:.2} times for each piece of a connection"
-        );
-        relay.weather(Weather { delay_ms: 10.0, ..Weather::default() });
-        assert!((0..100).all(|_| relay.lag() <= Duration::from_millis(10)));
-        assert!((0..100).any(|_| relay.lag() >= Duration::from_millis(5)));
-        relay.weather(Weather::default());
-        assert_eq!(relay.lag(), Duration::ZERO);
-        assert!((part(0) - 0.3).abs() < 0.04 && (part(2) - 0.14).abs() < 0.04, "{} {}", part(0), part(2));
-    }
-}
