--- a/crates/node/src/downstream.rs
+++ b/crates/node/src/downstream.rs
@@ -1,22 +1,22 @@
-//! The clients' side of a connection, without its socket: one request at a time, its answer, the next.
-//! Targets bring their news over such connections too.
+//! The server side of a connection that a client, a worker or an operator opened, without its socket: one request at a
+//! time, its answer, the next.
 
 use crate::clock::Millis;
 use crate::http::{Decoder, Fault, Message, Outbox, RequestLine, MAX_BODY};
 
 /// For so long the first request on a new connection may be on its way.
-const NEW: Millis = 100.0;
+const NEW_CONNECTION_GRACE: Millis = 100.0;
 /// A request must be whole within this time: the first from the connection's start, any other from its first byte.
-pub const WHOLE: Millis = 2_500.0;
+const REQUEST_TIMEOUT: Millis = 2_500.0;
 /// After its last answer a connection is kept this long for the client to read it and close.
-const LINGER: Millis = 2_000.0;
-/// So long an answer may wait for its client to read on.
-const STALLED: Millis = 10_000.0;
+const LINGER_TIMEOUT: Millis = 2_000.0;
+/// An answer may wait so long for its client to read on.
+const WRITE_TIMEOUT: Millis = 10_000.0;
 
 /// How far a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Between requests, or part of one has come.
+    /// Between requests, or a part of one has come.
     Open,
     /// A request was handed on and has no answer yet.
     Busy,
@@ -24,24 +24,24 @@
     Last,
 }
 
-/// A connection that a client or a worker opened.
+/// A connection that a client, a worker or an operator opened.
 pub struct Connection {
     decoder: Decoder<RequestLine>,
     /// Answers on their way.
     pub outbox: Outbox,
     state: State,
-    /// The client of the request at hand closes after it.
-    last: bool,
+    /// The client closes the connection after the current request.
+    is_last: bool,
     continue_sent: bool,
     has_served: bool,
     /// Its sending side is shut.
-    pub shut: bool,
-    opened: Millis,
+    pub write_shut: bool,
+    opened_at: Millis,
     /// When the request that has come in part began.
-    begun: Millis,
-    /// When something last came or went, but for what comes after the last answer.
-    pub used: Millis,
-    /// It has brought news, so it belongs to a worker.
+    request_began_at: Millis,
+    /// When bytes last came or went, but for what comes after the last answer.
+    pub used_at: Millis,
+    /// It has brought a job status update, so it is a worker's.
     pub brings_job_status: bool,
 }
 
@@ -52,69 +52,70 @@
             decoder: Decoder::new(),
             outbox: Outbox::default(),
             state: State::Open,
-            last: false,
+            is_last: false,
             continue_sent: false,
             has_served: false,
-            shut: false,
-            opened: now,
-            begun: now,
-            used: now,
+            write_shut: false,
+            opened_at: now,
+            request_began_at: now,
+            used_at: now,
             brings_job_status: false,
         }
     }
 
-    /// A connection that another process has accepted so long ago; `job`: it waits for a job's answer, and whether
-    /// its client closes after that.
+    /// A connection that migrates here, accepted so long ago. `job`: it waits for a job's answer, and whether its client
+    /// closes it after that.
     pub fn moved(now: Millis, age: Millis, has_served: bool, job: Option<bool>) -> Self {
-        let state = if job.is_some() { State::Busy } else { State::Open };
-        Connection {
-            opened: now - age,
-            has_served,
-            state,
-            last: job.unwrap_or(false),
-            ..Connection::new(now)
+        let mut connection = Connection::new(now);
+        connection.opened_at = now - age;
+        connection.has_served = has_served;
+        if let Some(closes_connection) = job {
+            connection.state = State::Busy;
+            connection.is_last = closes_connection;
         }
+        connection
     }
 
-    /// Whether another process can go on with it as it is: nothing has come or goes out in part.
+    /// Whether it can migrate: nothing has come or goes out in part.
     pub fn may_move(&self) -> bool {
         self.state != State::Last && self.decoder.is_empty() && self.outbox.unsent().is_empty()
     }
 
     /// For how long it has been open.
     pub fn age(&self, now: Millis) -> Millis {
-        now - self.opened
+        now - self.opened_at
     }
 
-    /// Whether the client of the request at hand closes after it.
+    /// Whether the client closes it after the current request.
     pub fn is_last(&self) -> bool {
-        self.last
+        self.is_last
     }
 
     /// Takes in what was read.
     pub fn receive(&mut self, bytes: &[u8], now: Millis) {
         if self.state != State::Last {
             if self.decoder.is_empty() && self.has_served {
-                self.begun = now;
+                self.request_began_at = now;
             }
-            self.used = now;
+            self.used_at = now;
             self.decoder.feed(bytes);
         }
     }
 
-    /// Whether to read on. Guards against: a client that sends request after request and reads no answer,
-    /// for which requests or answers would fill the memory.
+    /// Whether to read on. Requests or answers of a client that sends request after request and reads no answer would
+    /// else fill the memory.
     pub fn wants_more(&self) -> bool {
-        self.state == State::Last || !self.decoder.is_full() && !self.lags()
+        self.state == State::Last || !self.decoder.is_full() && !self.is_backlogged()
     }
 
-    fn lags(&self) -> bool {
+    /// More waits to be written than one answer may need.
+    fn is_backlogged(&self) -> bool {
         self.outbox.unsent().len() > MAX_BODY
     }
 
-    /// The next request, if one has come whole and the one before it has its answer.
+    /// The next request, if it has come whole and the one before it has its answer.
     pub fn next(&mut self) -> Option<Result<Message<RequestLine>, Fault>> {
-        if self.state != State::Open || self.lags() {
+        if self.state != State::Open || self.is_backlogged() {
             return None;
         }
         let next = self.decoder.next().transpose();
@@ -125,24 +126,27 @@
         if let Some(next) = &next {
             self.state = State::Busy;
             self.continue_sent = false;
-            self.last = next.as_ref().map_or(true, |m| !m.keep_alive);
+            self.is_last = match next {
+                Ok(message) => !message.keep_alive,
+                Err(_) => true,
+            };
         }
         next
     }
 
-    /// Whether the connection outlives the answer to the request at hand, if the scheduler wants it to.
+    /// Whether the connection outlives the answer to the current request, if the scheduler wants it to.
     pub fn keeps(&self, wanted: bool) -> bool {
-        wanted && !self.last
+        wanted && !self.is_last
     }
 
-    /// Answers the request at hand; `keep` must be what the answer says of the connection.
-    pub fn answer(&mut self, bytes: &[u8], keep: bool, now: Millis) {
+    /// Answers the current request; `keep_alive` must be what the answer says of the connection.
+    pub fn answer(&mut self, bytes: &[u8], keep_alive: bool, now: Millis) {
         if self.state == State::Busy {
             self.outbox.put(bytes);
-            self.used = now;
+            self.used_at = now;
             self.has_served = true;
-            self.begun = now;
-            self.state = if keep { State::Open } else { State::Last };
+            self.request_began_at = now;
+            self.state = if keep_alive { State::Open } else { State::Last };
         }
     }
 
@@ -156,115 +160,50 @@
         self.state == State::Open && self.decoder.is_empty() && self.outbox.unsent().is_empty()
     }
 
-    /// Whether it may be closed for want of descriptors, or at the end. Guards against: closing a new connection
-    /// on its first request, which the client then takes for lost.
+    /// Whether it may be closed for want of descriptors, or at the end. The first request may be on its way on a new
+    /// one, and its client would take it for lost.
     pub fn may_close(&self, now: Millis) -> bool {
-        self.is_idle() && (self.has_served || now >= self.opened + NEW)
+        self.is_idle() && (self.has_served || now >= self.opened_at + NEW_CONNECTION_GRACE)
     }
 
-    /// Whether it has had an answer to anything.
+    /// Whether a request on it was answered.
     pub fn has_served(&self) -> bool {
         self.has_served
     }
 
-    /// Whether part of a request has come and the rest is awaited.
+    /// Whether a part of a request has come and the rest is awaited.
     pub fn is_partial(&self) -> bool {
         self.state == State::Open && !self.decoder.is_empty()
     }
 
-    /// Whether the process may not end yet for its sake: a request is under way, or has come in part, or an answer is not written.
-    /// Guards against: a request whose last byte is on its way as the process ends, lost without an answer.
-    pub fn owes(&self) -> bool {
+    /// Whether the process must not exit yet for its sake: a request is under way or has come in part, or an answer is
+    /// not written. A request whose last byte is on its way would else be lost without an answer.
+    pub fn has_pending_work(&self) -> bool {
         self.state == State::Busy || self.is_partial() || !self.outbox.unsent().is_empty()
     }
 
-    /// Gives up waiting for the rest of a request; says what its client is owed for it.
+    /// Gives up waiting for the rest of a request; says what to answer its client.
     pub fn give_up_request(&mut self) -> Fault {
-        (self.state, self.last) = (State::Busy, true);
+        self.state = State::Busy;
+        self.is_last = true;
         Fault(408)
     }
 
-    /// Until when it can stay as it is. Guards against: clients that say nothing, or begin and never end, or read
-    /// no answer, each of which would hold a descriptor for ever. One that stands idle between requests may stay.
+    /// Until when it can stay as it is. Clients that say nothing, or begin and never end, or read no answer would each
+    /// hold a descriptor for ever. One that stands idle between requests may stay.
     pub fn deadline(&self) -> Millis {
+        if !self.outbox.unsent().is_empty() {
+            return self.used_at + WRITE_TIMEOUT;
+        }
         match self.state {
-            _ if !self.outbox.unsent().is_empty() => self.used + STALLED,
             State::Busy => f64::INFINITY,
-            State::Last => self.used + LINGER,
-            State::Open if self.is_partial() => self.begun + WHOLE,
+            State::Last => self.used_at + LINGER_TIMEOUT,
+            State::Open if self.is_partial() => self.request_began_at + REQUEST_TIMEOUT,
             State::Open if self.has_served => f64::INFINITY,
-            State::Open => self.opened + WHOLE,
+            State::Open => self.opened_at + REQUEST_TIMEOUT,
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const UP: &[u8] = b"GET /up HTTP/1.1\r\n\r\n";
-
-    #[test]
-    fn a_new_connection_is_left_alone_until_its_first_request_must_have_come() {
-        let mut c = Connection::new(5.0);
-        assert!(c.is_idle() && !c.may_close(5.0 + NEW / 2.0) && c.may_close(5.0 + NEW));
-        c.receive(UP, 6.0);
-        assert!(c.next().is_some() && !c.may_close(1e9));
-        c.answer(b"", true, 7.0);
-        assert!(c.may_close(7.0));
-    }
-
-    #[test]
-    fn the_end_waits_for_what_is_under_way_half_read_or_not_written() {
-        let mut c = Connection::new(5.0);
-        assert!(!c.owes());
-        c.receive(&UP[..5], 6.0);
-        assert!(c.owes()); // half a request
-        c.receive(&UP[5..], 7.0);
-        assert!(c.next().is_some() && c.owes()); // one under way
-        c.answer(b"ab", true, 8.0);
-        assert!(c.owes()); // an answer that is not written
-        c.outbox.sent(1);
-        assert!(c.owes());
-        c.outbox.sent(1);
-        assert!(!c.owes());
-    }
-
-    #[test]
-    fn a_connection_that_moves_goes_on_as_it_was() {
-        let mut c = Connection::new(5.0);
-        c.receive(&UP[..5], 6.0);
-        assert!(!c.may_move()); // half a request is here, and nowhere else
-        c.receive(&UP[5..], 7.0);
-        assert!(c.next().is_some() && c.may_move());
-        let mut moved = Connection::moved(100.0, c.age(100.0), c.has_served(), Some(c.is_last()));
-        assert!(moved.state() == State::Busy && moved.next().is_none() && moved.keeps(true));
-        moved.answer(b"ab", true, 101.0);
-        assert!(!moved.may_move() && moved.state() == State::Open);
-        assert!(!Connection::moved(100.0, 1.0, true, Some(true)).keeps(true));
-        // One that has said nothing yet has no more time for it than before.
-        assert_eq!(Connection::moved(100.0, 95.0, false, None).deadline(), 5.0 + WHOLE);
-    }
-
-    #[test]
-    fn nobody_holds_a_connection_by_saying_nothing_or_half_of_it_or_by_reading_nothing() {
-        let mut c = Connection::new(5.0);
-        assert_eq!(c.deadline(), 5.0 + WHOLE);
-        // A trickle does not put it off.
-        c.receive(&UP[..5], 100.0);
-        c.receive(&UP[5..9], 2_000.0);
-        assert!(c.deadline() == 5.0 + WHOLE && c.is_partial());
-        c.receive(&UP[9..], 2_100.0);
-        assert!(c.next().is_some() && c.deadline().is_infinite());
-        c.answer(b"ab", true, 2_200.0);
-        assert_eq!(c.deadline(), 2_200.0 + STALLED);
-        c.outbox.sent(2);
-        assert!(c.deadline().is_infinite()); // kept between requests
-        c.receive(&UP[..5], 9_000.0);
-        assert_eq!(c.deadline(), 9_000.0 + WHOLE);
-        assert_eq!(c.give_up_request(), Fault(408));
-        c.answer(b"", c.keeps(true), 12_000.0);
-        c.receive(UP, 13_000.0);
-        assert!(c.state() == State::Last && c.deadline() == 12_000.0 + LINGER);
-    }
-}
+mod tests;
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,340 +1,280 @@
-//! The one loop: poll, gather all that is ready, let the module decide on it in one go, act on what it wants.
+//! The event loop of the platform's protocol. Each turn polls, takes in all that is ready, has the dispatcher decide on
+//! it at once, and carries out its commands.
 
 use crate::clock::{Clock, Millis, Timers};
 use crate::config::Config;
 use crate::connection_id::ConnectionId;
-use crate::discovery;
 use crate::dispatch::{Command, Dispatch};
-use crate::downstream;
 use crate::drain::Drain;
 use crate::endpoint_list::EndpointList;
-use crate::http::{Outbox, RequestLine};
-use crate::membership::StateExchange;
+use crate::http::RequestLine;
+use crate::net::{self, Sockets};
 use crate::reload::Reload;
 use crate::upgrade_protocol::{self, JobEnd, Message};
-use crate::upstream::{self, Pool, Task};
+use crate::upstream::{Pool, Task};
+use accept::AcceptSchedule;
+use admin::AdminInterface;
+use limits::ConnectionLimits;
 use membership::Membership;
-use mio::net::{TcpListener, TcpStream};
+use mio::net::TcpListener;
 use mio::{Events, Interest, Poll, Token};
-use postusher_decision::{JobId, ListUpdate};
+use postusher_decision::ListUpdate;
 use postusher_settings::SiteSettings;
+use role::{Role, Socket};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
-use slab::Slab;
-use std::io::{self, ErrorKind};
-use std::net::SocketAddr;
+use std::io;
 use std::rc::Rc;
-use std::time::Duration;
 use upgrade::Upgrade;
+use watch::ListWatch;
 
+mod accept;
 mod admin;
 mod descriptor_passing;
 mod downstreams;
+mod idle_downstreams;
+mod limits;
 mod membership;
+mod migration;
+mod role;
 mod signals;
 mod sockets;
+mod transfer;
 mod upgrade;
 mod upstreams;
 mod watch;
 
-const LISTENER: Token = Token(usize::MAX);
-const SIGNAL: Token = Token(usize::MAX - 1);
-const MANAGEMENT: Token = Token(usize::MAX - 2);
-const PEER: Token = Token(usize::MAX - 3);
-const DOOR: Token = Token(usize::MAX - 4);
+// Poll tokens; those of connections count from 0.
+const CLIENT_LISTENER: Token = Token(usize::MAX);
+const SIGNALS: Token = Token(usize::MAX - 1);
+const ADMIN_LISTENER: Token = Token(usize::MAX - 2);
+const UPGRADE_PEER: Token = Token(usize::MAX - 3);
+const UPGRADE_SOCKET: Token = Token(usize::MAX - 4);
 const DATAGRAMS: Token = Token(usize::MAX - 5);
 const EXCHANGES: Token = Token(usize::MAX - 6);
-/// Descriptors beside the connections of clients and workers: standard streams, poll, listener, signals, discovery, the
-/// other process of an upgrade, and room for what libraries open.
-const OWN_DESCRIPTORS: usize = 13;
-/// A process that shares few descriptors with another in an upgrade has this many connections all the same.
-const FEWEST_CONNECTIONS: usize = 8;
-/// One in so many of the others is for connections to workers.
-const FORWARDS_ONE_IN: usize = 4;
-/// The loop looks around at least this often.
-const LONGEST_SLEEP: Millis = 1_000.0;
-/// Near the end, idle connections are closed so often.
-const CLOSE_EVERY: Millis = 20.0;
+/// The loop takes a turn at least this often.
+const MAX_SLEEP: Millis = 1_000.0;
+/// Near the end of a drain, connections that have fallen idle are closed this often.
+const IDLE_CLOSE_INTERVAL: Millis = 20.0;
 /// Between two lines of counters in the log.
-const COUNTERS_EVERY: Millis = 60_000.0;
-
-/// How many connections from outside and to workers there may be, of so many descriptors.
-fn shares(descriptors: usize, managed: bool, member: bool) -> (usize, usize) {
-    let own = OWN_DESCRIPTORS + if managed { admin::DESCRIPTORS } else { 0 };
-    let own = own + if member { membership::DESCRIPTORS } else { 0 };
-    let connections = descriptors.saturating_sub(own).max(FEWEST_CONNECTIONS);
-    (connections - connections / FORWARDS_ONE_IN, connections / FORWARDS_ONE_IN)
-}
-
-enum Role {
-    /// A client's connection, or one that a worker brings news on; the request at hand.
-    Downstream(downstream::Connection, Option<JobId>),
-    /// An operator's connection.
-    Admin(downstream::Connection),
-    /// A connection to a worker.
-    Upstream(upstream::Connection),
-    /// The connection to discovery.
-    Discovery(discovery::Connection),
-    /// A connection to or from another member.
-    StateExchange(StateExchange),
-}
-
-impl Role {
-    fn outbox(&mut self) -> &mut Outbox {
-        match self {
-            Role::Downstream(c, _) | Role::Admin(c) => &mut c.outbox,
-            Role::Upstream(c) => &mut c.outbox,
-            Role::Discovery(c) => &mut c.outbox,
-            Role::StateExchange(c) => &mut c.outbox,
-        }
-    }
-
-    /// The side of a connection that others opened, if they did.
-    fn outside(&mut self) -> Option<&mut downstream::Connection> {
-        match self {
-            Role::Downstream(c, _) | Role::Admin(c) => Some(c),
-            _ => None,
-        }
-    }
-
-    /// The same, to look at.
-    fn outside_ref(&self) -> Option<&downstream::Connection> {
-        match self {
-            Role::Downstream(c, _) | Role::Admin(c) => Some(c),
-            _ => None,
-        }
-    }
-}
-
-struct Socket {
-    stream: TcpStream,
-    key: ConnectionId,
-    role: Role,
-    /// A connect that has not come up or failed yet.
-    connecting: bool,
-    /// The other side has sent its last byte; what came before it may not be read yet.
-    peer_closed: bool,
-    /// When to look at it again; infinite: never.
-    deadline: Millis,
-}
+const COUNTERS_INTERVAL: Millis = 60_000.0;
+/// Events that one poll brings at most.
+const MAX_EVENTS: usize = 1_024;
+/// Bytes that one read brings at most.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Rounds of decisions in a turn. Commands may bring events at once, such as a connect that fails; a few rounds settle
+/// these, and what is left waits for the next turn.
+const DECISION_ROUNDS: usize = 4;
 
 /// A scheduler at work.
 pub struct EventLoop {
     poll: Poll,
     clock: Clock,
-    site: Rc<SiteSettings>,
-    discovery: SocketAddr,
-    /// Where clients connect; none once the process is about to end.
-    listener: Option<TcpListener>,
-    /// Where operators call, and how many of their connections there are.
-    admin_listener: Option<TcpListener>,
-    admin_connections: usize,
-    /// Calls of this turn with their answers; none: the metrics.
-    called: Vec<(ConnectionId, Option<Vec<u8>>)>,
-    /// When to look for new connections unasked; 0: not before one is told of.
-    accept_at: Millis,
-    /// Connections that have had their part of a turn and may have more.
-    again: Vec<ConnectionId>,
     signals: Signals,
+    site: Rc<SiteSettings>,
     reload: Reload,
+    /// Where clients connect; none once the process is about to exit.
+    listener: Option<TcpListener>,
+    accept_schedule: AcceptSchedule,
+    sockets: Sockets<Role>,
+    limits: ConnectionLimits,
+    timers: Timers<ConnectionId>,
+    read_buffer: Vec<u8>,
+    /// Connections that had their share of this turn and may have more to read.
+    unfinished_reads: Vec<ConnectionId>,
+    admin: AdminInterface,
     upgrade: Upgrade,
-    /// Descriptors of the scheduler, which two processes share in an upgrade.
-    descriptors: usize,
-    sockets: Slab<Socket>,
-    serial: u64,
-    /// Connections that others opened, and how many there may be.
-    downstreams: usize,
-    max_downstreams: usize,
-    /// Connections to workers, likewise.
-    upstreams: usize,
-    max_upstreams: usize,
-    /// This scheduler as a member among others, where the setup says so.
+    /// This scheduler as a member, where the setup says so.
     members: Option<Membership>,
-    dispatch: Dispatch,
+    watch: ListWatch,
     endpoints: EndpointList,
-    watch: Option<ConnectionId>,
-    /// A list of discovery's holds this many bytes at most.
-    max_list: usize,
-    /// Discovery has been called since the start.
-    list_asked: bool,
-    /// Since when an answer of discovery has begun that was not taken in yet.
-    answer_begun: Option<Millis>,
+    dispatch: Dispatch,
     pool: Pool,
-    timers: Timers<ConnectionId>,
     drain: Drain,
-    counters_at: Millis,
-    /// When to say again that descriptors are short.
-    short_at: Millis,
-    scratch: Vec<u8>,
+    counters_due_at: Millis,
 }
 
 impl EventLoop {
-    /// The signals that a scheduler acts on. Guards against: one that comes before they are waited for, and ends
-    /// the process.
+    /// Registers the signals that a scheduler acts on. Called first, as a signal that comes earlier ends the process.
+    ///
+    /// # Errors
+    /// The system's reason.
     pub fn signals() -> io::Result<Signals> {
         Signals::new([SIGTERM, SIGHUP])
     }
 
-    /// Listens, and hands the module the list that the configuration knows.
+    /// Listens, and hands the dispatcher the endpoint list of the configuration.
+    ///
+    /// # Errors
+    /// An address cannot be listened at, or a socket cannot be polled.
     pub fn new(config: Config, reload: Reload, mut signals: Signals, clock: Clock) -> io::Result<EventLoop> {
         let now = clock.now();
         let poll = Poll::new()?;
-        let path = upgrade_protocol::socket_path(config.listen);
-        let start = descriptor_passing::start(config.listen, path.as_deref(), &clock)
+        let socket_path = upgrade_protocol::socket_path(config.listen);
+        let start = descriptor_passing::start(config.listen, socket_path.as_deref(), &clock)
             .map_err(|e| io::Error::new(e.kind(), format!("listening on {}: {e}", config.listen)))?;
         start.listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(start.listener);
-        poll.registry().register(&mut signals, SIGNAL, Interest::READABLE)?;
-        let admin_listener = config.mgmt.map(|addr| admin::listen(addr, poll.registry())).transpose()?;
-        let (max_downstreams, max_upstreams) =
-            shares(config.sockets, admin_listener.is_some(), config.setup.0.members.is_some());
-        let mut membership = config.setup.0.members.as_ref().map(|m| Membership::new(m, config.seed, &clock));
-        // In an upgrade the process before has the address until this one takes clients.
-        if let Some(membership) = membership.as_mut().filter(|_| start.before.is_none()) {
-            membership.bind(poll.registry())?;
+        poll.registry().register(&mut signals, SIGNALS, Interest::READABLE)?;
+        let admin = AdminInterface::new(config.mgmt, poll.registry())?;
+        let member_setup = config.setup.0.members.as_ref();
+        let mut members = member_setup.map(|setup| Membership::new(setup, config.seed, &clock));
+        // In an upgrade the predecessor has the address until this process accepts clients.
+        if let Some(members) = members.as_mut().filter(|_| start.predecessor.is_none()) {
+            members.bind(poll.registry())?;
         }
+        let for_members = if members.is_some() { membership::DESCRIPTORS } else { 0 };
+        let reserved = admin.reserved_descriptors() + for_members;
         let site = Rc::new(config.site);
-        let longest = site.classes.iter().map(|class| class.max_wait_ms).fold(0.0, f64::max);
-        let limits = config.setup.limits(&site);
-        let mut dispatch = Dispatch::new(site.clone(), config.seed, now).with_deferral(limits);
+        let longest_wait = site.classes.iter().map(|class| class.max_wait_ms).fold(0.0, f64::max);
+        let deferral_limits = config.setup.limits(&site);
+        let mut dispatch = Dispatch::new(site.clone(), config.seed, now).with_deferral(deferral_limits);
         let mut endpoints = EndpointList::new(&site);
         let known = endpoints.apply(config.known).endpoints;
         log::info!("{}: listening on {}, {} workers known", config.name, listener.local_addr()?, known.len());
         dispatch.endpoint_list(ListUpdate::Cached, known);
-        if let Some(admin_listener) = &admin_listener {
-            log::info!("{}: operators call at {}", config.name, admin_listener.local_addr()?);
+        if let Some(address) = admin.local_addr()? {
+            log::info!("{}: operators call at {address}", config.name);
         }
-        let mut new = EventLoop {
+        let mut event_loop = EventLoop {
             poll,
             clock,
-            site,
-            discovery: config.discovery,
-            listener: Some(listener),
-            admin_listener,
-            admin_connections: 0,
-            called: Vec::new(),
-            accept_at: 0.0,
-            again: Vec::new(),
             signals,
+            site,
             reload,
-            upgrade: Upgrade::new(path, config.digest),
-            descriptors: config.sockets,
-            sockets: Slab::new(),
-            serial: 0,
-            downstreams: 0,
-            max_downstreams,
-            upstreams: 0,
-            max_upstreams,
-            members: membership,
-            dispatch,
+            listener: Some(listener),
+            accept_schedule: AcceptSchedule::WhenReady,
+            sockets: Sockets::new(),
+            limits: ConnectionLimits::new(config.sockets, reserved, now),
+            timers: Timers::new(),
+            read_buffer: vec![0; READ_BUFFER_BYTES],
+            unfinished_reads: Vec::new(),
+            admin,
+            upgrade: Upgrade::new(socket_path, config.digest),
+            members,
+            watch: ListWatch::new(config.discovery, config.max_list),
             endpoints,
-            watch: None,
-            max_list: config.max_list,
-            list_asked: false,
-            answer_begun: None,
+            dispatch,
             pool: Pool::default(),
-            timers: Timers::new(),
-            drain: Drain::new(longest),
-            counters_at: now + COUNTERS_EVERY,
-            short_at: now,
-            scratch: vec![0; 64 * 1024],
+            drain: Drain::new(longest_wait),
+            counters_due_at: now + COUNTERS_INTERVAL,
         };
-        new.follow(start.before)?;
-        new.watch_pushed_list(now);
-        Ok(new)
+        match start.predecessor {
+            Some(predecessor) => event_loop.continue_from(predecessor)?,
+            None => event_loop.start_accepting_clients()?,
+        }
+        event_loop.watch_pushed_list(now);
+        Ok(event_loop)
     }
 
     /// Runs until SIGTERM and the end of all work.
+    ///
+    /// # Errors
+    /// The poll fails, or another process runs under this member's name.
     pub fn run(&mut self) -> io::Result<()> {
-        let mut events = Events::with_capacity(1024);
-        while !self.is_over() || self.accepts_more() {
-            self.sleep(&mut events)?;
+        let mut events = Events::with_capacity(MAX_EVENTS);
+        while !self.is_finished() || self.accept_last_downstreams() {
+            self.wait_for_events(&mut events)?;
             self.gather(&events);
             self.decide_and_act();
-            self.answer_calls(self.clock.now());
-            self.move_clients();
+            self.send_admin_answers(self.clock.now());
+            self.migrate_clients();
         }
         self.log_counters("at the end");
-        let taken = self.members.as_mut().and_then(|m| m.taken.take());
-        taken.map_or(Ok(()), |why| Err(io::Error::other(why)))
+        match self.members.as_mut().and_then(|members| members.taken.take()) {
+            Some(why) => Err(io::Error::other(why)),
+            None => Ok(()),
+        }
     }
 
-    fn is_over(&self) -> bool {
-        // Once its successor takes clients, a process may end with its last connection.
-        let left = self.drain.is_shutting_down() && self.drain.has_successor() && self.downstreams == 0;
-        (left || self.drain.may_exit(self.clock.now()))
+    /// Whether the process may exit.
+    fn is_finished(&self) -> bool {
+        let now = self.clock.now();
+        // Once its successor accepts clients, a process may exit with its last connection.
+        let is_replaced = self.drain.is_shutting_down() && self.drain.has_successor();
+        let may_exit = is_replaced && self.limits.downstream.open == 0 || self.drain.may_exit(now);
+        may_exit
             && self.dispatch.unanswered_jobs() == 0
             && self.upgrade.is_flushed()
-            && self.sockets.iter().all(|(_, s)| !s.owes())
-            && (self.drain.is_past_deadline(self.clock.now()) || !self.has_unread_requests())
+            && !self.sockets.iter().any(|socket| socket.role.has_pending_work())
+            && (self.drain.is_past_deadline(now) || !self.has_unread_requests())
     }
 
-    fn sleep(&mut self, events: &mut Events) -> io::Result<()> {
+    fn wait_for_events(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
-        let accept = (self.accept_at > 0.0).then_some(self.accept_at);
-        // Once they are to be closed, connections fall idle one by one.
-        let closes = self.drain.closes_idle_at().map(|at| at.max(now + CLOSE_EVERY));
-        let member = self.members.as_ref().and_then(Membership::next_wake);
-        let end = self.drain.shutdown_deadline().filter(|end| now < *end);
-        let wakes = [self.dispatch.next_due(now), self.timers.next(), closes, accept, member, end];
-        let next = wakes.into_iter().flatten().fold(now + LONGEST_SLEEP, f64::min);
-        let left = self.members.as_ref().is_some_and(Membership::has_more);
-        let more = self.dispatch.has_events() || !self.again.is_empty() || left;
-        let micros = if more { 0.0 } else { ((next - now) * 1e3).ceil().max(0.0) };
-        match self.poll.poll(events, Some(Duration::from_micros(micros as u64))) {
-            Err(e) if e.kind() != ErrorKind::Interrupted => Err(e),
-            _ => Ok(()),
+        let has_datagrams = self.members.as_ref().is_some_and(Membership::has_more);
+        if self.dispatch.has_events() || !self.unfinished_reads.is_empty() || has_datagrams {
+            return net::wait(&mut self.poll, events, 0.0);
         }
+        let wakes = [
+            self.dispatch.next_due(now),
+            self.timers.next(),
+            self.drain.closes_idle_at().map(|at| at.max(now + IDLE_CLOSE_INTERVAL)),
+            self.accept_schedule.next(),
+            self.members.as_ref().and_then(Membership::next_wake),
+            self.drain.shutdown_deadline().filter(|deadline| now < *deadline),
+        ];
+        let next = wakes.into_iter().flatten().fold(now + MAX_SLEEP, f64::min);
+        net::wait(&mut self.poll, events, next - now)
     }
 
     /// Takes in all that is ready; nothing is decided yet.
     fn gather(&mut self, events: &Events) {
-        let resting = self.accept_at;
-        let again = std::mem::take(&mut self.again);
-        // Guards against: operators who wait behind a crowd of clients.
-        let (calls, others): (Vec<_>, Vec<_>) = events.iter().partition(|event| self.is_call(event.token()));
-        for event in calls.into_iter().chain(others) {
-            match event.token() {
-                MANAGEMENT => self.accept_managers(),
-                LISTENER => self.accept(),
-                SIGNAL => self.signalled(),
-                PEER => self.peer_ready(),
-                DOOR => self.knocked(),
-                DATAGRAMS => self.datagrams(),
-                EXCHANGES => self.accept_exchanges(),
-                Token(slot) => self.ready(slot, event.is_read_closed()),
-            }
+        let accept_schedule = self.accept_schedule;
+        let unfinished_reads = std::mem::take(&mut self.unfinished_reads);
+        // Operators must not wait behind a crowd of clients.
+        let (admin_events, others): (Vec<_>, Vec<_>) =
+            events.iter().partition(|event| self.is_admin_event(event.token()));
+        for event in admin_events.into_iter().chain(others) {
+            self.handle_event(event.token(), event.is_read_closed());
+        }
+        for id in unfinished_reads {
+            self.drive(id);
         }
-        again.into_iter().for_each(|key| self.drive(key));
         let now = self.clock.now();
-        if resting > 0.0 && resting <= now && resting == self.accept_at {
-            self.accept();
+        if accept_schedule.is_due(now) && accept_schedule == self.accept_schedule {
+            self.accept_downstreams();
         }
-        while let Some(key) = self.timers.due(now) {
-            self.socket_due(key, now);
+        self.run_timers(now);
+    }
+
+    fn handle_event(&mut self, token: Token, peer_closed: bool) {
+        match token {
+            ADMIN_LISTENER => self.accept_admin_connections(),
+            CLIENT_LISTENER => self.accept_downstreams(),
+            SIGNALS => self.handle_signals(),
+            UPGRADE_PEER => self.handle_peer_readiness(),
+            UPGRADE_SOCKET => self.accept_successor(),
+            DATAGRAMS => self.datagrams(),
+            EXCHANGES => self.accept_exchanges(),
+            connection => self.handle_readiness(connection, peer_closed),
+        }
+    }
+
+    /// Does what time asks for.
+    fn run_timers(&mut self, now: Millis) {
+        while let Some(id) = self.timers.due(now) {
+            self.handle_deadline(id, now);
         }
         self.dispatch.run_timers(now);
         self.mind_members(now);
         if self.drain.closes_idle(now) {
-            self.close_idle_listeners(now);
+            self.close_idle_downstreams(now);
         }
         if self.drain.is_past_deadline(now) {
-            self.refuse_half_read(now);
+            self.reject_partial_requests(now);
         }
-        if now >= self.counters_at {
+        if now >= self.counters_due_at {
             self.log_counters("so far");
-            self.counters_at = now + COUNTERS_EVERY;
+            self.counters_due_at = now + COUNTERS_INTERVAL;
         }
     }
 
     fn decide_and_act(&mut self) {
-        // Acting may bring news at once, such as a connect that fails; a few rounds settle it, and what is
-        // left then waits for the next turn.
-        for _ in 0..4 {
+        for _ in 0..DECISION_ROUNDS {
             let now = self.clock.now();
-            let commands = self.dispatch.decide(&self.endpoints, now);
-            for command in commands {
-                self.act(command, now);
+            for command in self.dispatch.decide(&self.endpoints, now) {
+                self.run_command(command, now);
             }
             if !self.dispatch.has_events() {
                 break;
@@ -342,48 +282,34 @@
         }
     }
 
-    fn act(&mut self, command: Command, now: Millis) {
+    fn run_command(&mut self, command: Command, now: Millis) {
         match command {
             Command::Answer(client, answer) => self.answer(client, &answer, now),
-            Command::StartAttempt { job, attempt, worker } => self.attempt(job, attempt, worker, now),
-            Command::AbandonAttempt(job, attempt) => {
-                if let Some(key) = self.pool.attempts.remove(&(job, attempt)) {
-                    self.abandon(key);
-                }
-            }
+            Command::StartAttempt { job, attempt, worker } => self.start_attempt(job, attempt, worker, now),
+            Command::AbandonAttempt(job, attempt) => self.abandon_attempt(job, attempt),
             Command::CancelAttempt { worker, trace_id } => {
                 let line = RequestLine { method: "DELETE".into(), target: format!("/jobs/{trace_id}") };
-                self.call(worker, Task::Cancellation, &line, now);
+                self.send_task(worker, Task::Cancellation, &line, now);
             }
             Command::CheckHealth(worker) => {
                 let path = if self.site.report_fields.is_empty() { "/alive" } else { "/metrics/load" };
                 let line = RequestLine { method: "GET".into(), target: path.into() };
-                self.call(worker, Task::HealthCheck(worker), &line, now);
-            }
-            Command::ReleaseJobId(id) => self.tell(|| Message::JobIdReleased(id.to_string())),
-            Command::PublishJobEnd(id, how) => {
-                self.tell(|| Message::JobEnded(JobEnd { trace_id: id.to_string(), status: how }));
+                self.send_task(worker, Task::HealthCheck(worker), &line, now);
             }
-            Command::WatchEndpoints => {
-                if self.watch.is_none() {
-                    self.watch(now);
-                }
+            Command::ReleaseJobId(trace_id) => {
+                self.send_to_peer(|| Message::JobIdReleased(trace_id.to_string()));
             }
-            Command::CloseIdleConnections(worker) => {
-                self.pool.take_all(worker).into_iter().for_each(|key| self.close(key));
+            Command::PublishJobEnd(trace_id, status) => {
+                self.send_to_peer(|| Message::JobEnded(JobEnd { trace_id: trace_id.to_string(), status }));
             }
+            Command::WatchEndpoints => self.ensure_watch(now),
+            Command::CloseIdleConnections(worker) => self.close_idle_upstreams_of(worker),
         }
     }
-}
 
-impl Socket {
-    /// Whether somebody waits for something on it.
-    fn owes(&self) -> bool {
-        match &self.role {
-            Role::Downstream(c, _) => c.owes(),
-            Role::Upstream(c) => c.task() == Some(Task::Cancellation),
-            Role::Admin(c) => !c.outbox.unsent().is_empty(),
-            Role::Discovery(_) | Role::StateExchange(_) => false,
-        }
+    /// Something had to wait or fail for want of a descriptor.
+    fn count_shortage(&mut self, now: Millis) {
+        self.dispatch.metrics.short += 1;
+        self.limits.warn_of_shortage(now);
     }
 }
--- a/crates/node/src/event_loop/admin.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -1,60 +1,102 @@
-//! Operators' connections: accepted apart from clients' and before them, one call on each.
+//! The admin interface: its connections are accepted apart from clients' and before them, one request on each.
 
-use super::{ConnectionId, EventLoop, Role, Socket, MANAGEMENT};
+use super::{ConnectionId, EventLoop, Role, Socket, ADMIN_LISTENER};
 use crate::admin::{self, AdminError, AdminRequest};
 use crate::clock::Millis;
 use crate::downstream;
 use crate::http;
 use crate::metrics::{DeferralGauges, Gauges};
+use crate::net::{self, Accepted};
 use crate::upgrade_protocol::Message;
-use mio::net::TcpListener;
+use mio::net::{TcpListener, TcpStream};
 use mio::{Interest, Registry, Token};
-use std::io::{self, ErrorKind};
+use std::io;
 use std::net::SocketAddr;
 
-/// So many operators' connections there may be. Guards against: callers that connect and finish no call, behind
-/// which others would wait; over this, the one that came first goes.
-const MOST: usize = 16;
-/// Descriptors set apart for them: theirs, the listener's, and one to accept with.
-pub(super) const DESCRIPTORS: usize = MOST + 2;
-
-/// Listens for operators.
-pub(super) fn listen(addr: SocketAddr, registry: &Registry) -> io::Result<TcpListener> {
-    let mut listener = TcpListener::bind(addr)
-        .map_err(|e| io::Error::new(e.kind(), format!("listening on {addr} for management: {e}")))?;
-    registry.register(&mut listener, MANAGEMENT, Interest::READABLE)?;
+/// Operators' connections at a time; over this, the oldest is closed. Callers that connect and finish no request would
+/// else keep others waiting.
+const MAX_CONNECTIONS: usize = 16;
+/// Descriptors reserved for the admin interface: its connections, the listener, and one to accept with.
+const RESERVED_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
+
+/// An answer that goes out at the end of the turn, once the dispatcher has handled what the request has changed.
+enum PendingAnswer {
+    /// These bytes.
+    Bytes(Vec<u8>),
+    /// The metrics as they are then.
+    Stats,
+}
+
+/// What a request does when it is applied.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AdminOutcome {
+    /// It is done.
+    Applied,
+    /// There is no worker of the name that it gives.
+    UnknownWorker,
+}
+
+/// The sockets of the admin interface, and answers that are to go out.
+pub(super) struct AdminInterface {
+    listener: Option<TcpListener>,
+    /// Operators' connections.
+    pub(super) open_connections: usize,
+    pending_answers: Vec<(ConnectionId, PendingAnswer)>,
+}
+
+impl AdminInterface {
+    /// Listens, where there is an address for it.
+    ///
+    /// # Errors
+    /// The address cannot be listened at.
+    pub(super) fn new(address: Option<SocketAddr>, registry: &Registry) -> io::Result<AdminInterface> {
+        let listener = match address {
+            Some(address) => Some(listen(address, registry)?),
+            None => None,
+        };
+        Ok(AdminInterface { listener, open_connections: 0, pending_answers: Vec::new() })
+    }
+
+    /// Where it listens, if anywhere.
+    pub(super) fn local_addr(&self) -> io::Result<Option<SocketAddr>> {
+        self.listener.as_ref().map(TcpListener::local_addr).transpose()
+    }
+
+    /// Descriptors that are reserved for it.
+    pub(super) fn reserved_descriptors(&self) -> usize {
+        if self.listener.is_some() {
+            RESERVED_DESCRIPTORS
+        } else {
+            0
+        }
+    }
+}
+
+fn listen(address: SocketAddr, registry: &Registry) -> io::Result<TcpListener> {
+    let mut listener = TcpListener::bind(address)
+        .map_err(|e| io::Error::new(e.kind(), format!("listening on {address} for management: {e}")))?;
+    registry.register(&mut listener, ADMIN_LISTENER, Interest::READABLE)?;
     Ok(listener)
 }
 
 impl EventLoop {
-    /// Whether state is that of an operator's call.
-    pub(super) fn is_call(&self, token: Token) -> bool {
-        let manager = |s: &Socket| matches!(s.role, Role::Admin(_));
-        token == MANAGEMENT || self.sockets.get(token.0).is_some_and(manager)
+    /// Whether a poll event concerns the admin interface.
+    pub(super) fn is_admin_event(&self, token: Token) -> bool {
+        token == ADMIN_LISTENER || self.sockets.at_token(token).is_some_and(is_admin)
     }
 
-    /// Takes operators' connections that wait.
-    pub(super) fn accept_managers(&mut self) {
+    /// Accepts operators' connections that wait.
+    pub(super) fn accept_admin_connections(&mut self) {
         let now = self.clock.now();
-        while let Some(listener) = &self.admin_listener {
-            match listener.accept() {
-                Ok((stream, _)) => {
-                    let _ = stream.set_nodelay(true); // a delay at worst
-                    if self.admin_connections >= MOST {
-                        self.close_oldest_manager();
-                    }
-                    let new = downstream::Connection::new(now);
-                    let until = new.deadline();
-                    match self.add(stream, Role::Admin(new), false, until) {
-                        Ok(key) => self.drive(key),
-                        Err(e) => log::warn!("a new connection cannot be polled: {e}"),
-                    }
-                }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                Err(e) => {
-                    log::warn!("accept for management: {e}");
-                    if !self.close_oldest_manager() {
+        loop {
+            let Some(listener) = &self.admin.listener else { return };
+            match net::accept(listener) {
+                Accepted::Connection(stream) => self.add_admin_connection(stream, now),
+                Accepted::NoneWaiting => return,
+                Accepted::Retry => {}
+                Accepted::Failed(e) => {
+                    log::warn!("accept failed: interface=admin error={e}");
+                    if !self.close_oldest_admin_connection() {
                         return;
                     }
                 }
@@ -62,99 +104,140 @@
         }
     }
 
+    fn add_admin_connection(&mut self, stream: TcpStream, now: Millis) {
+        let _ = stream.set_nodelay(true); // without it there is a delay at worst
+        if self.admin.open_connections >= MAX_CONNECTIONS {
+            self.close_oldest_admin_connection();
+        }
+        let connection = downstream::Connection::new(now);
+        let deadline = connection.deadline();
+        match self.add(stream, Role::Admin(connection), false, deadline) {
+            Ok(id) => self.drive(id),
+            Err(e) => log::warn!("connection not polled: error={e}"),
+        }
+    }
+
     /// Says whether there was one.
-    fn close_oldest_manager(&mut self) -> bool {
-        let managers = self.sockets.iter().filter(|(_, s)| matches!(s.role, Role::Admin(_)));
-        let oldest = managers.map(|(_, s)| s.key).min_by_key(|key| key.serial);
-        oldest.map(|key| self.close(key)).is_some()
+    fn close_oldest_admin_connection(&mut self) -> bool {
+        let admin_connections = self.sockets.iter().filter(|socket| is_admin(socket));
+        let oldest = admin_connections.map(|socket| socket.id).min_by_key(|id| id.serial);
+        let Some(oldest) = oldest else { return false };
+        self.close(oldest);
+        true
     }
 
-    /// Takes the call that has come whole on a connection; there is one on each.
-    pub(super) fn calls(&mut self, key: ConnectionId, now: Millis) {
-        let Some(Socket { role: Role::Admin(c), .. }) = self.socket(key) else { return };
-        let Some(next) = c.next() else { return };
-        let status = |status| Some(http::response(status, &[], b"", false));
-        let answer = match next.map(|message| admin::read(&message.line)) {
-            Err(fault) => status(fault.0),
-            Ok(Err(AdminError::NotFound)) => status(404),
-            Ok(Err(AdminError::MethodNotAllowed(allow))) => {
-                Some(http::response(405, &[("Allow", allow.into())], b"", false))
-            }
-            Ok(Ok(AdminRequest::Stats)) => None,
-            Ok(Ok(AdminRequest::Members)) => {
-                let json = [("Content-Type", "application/json".to_string())];
-                let shown = self.members_json();
-                shown.map(|body| http::response(200, &json, body.as_bytes(), false)).or_else(|| status(404))
-            }
-            Ok(Ok(AdminRequest::Healthcheck)) => {
-                let takes = self.upgrade.takes_clients && self.drain.is_healthy();
-                status(if takes { 200 } else { 503 })
-            }
-            Ok(Ok(call)) => {
-                let there = self.obey(&call, now);
-                if there {
-                    self.tell(|| Message::AdminRequest(call));
+    /// Handles the request that has come whole on a connection; there is one on each.
+    pub(super) fn handle_admin_request(&mut self, id: ConnectionId, now: Millis) {
+        let Some(Socket { role: Role::Admin(connection), .. }) = self.socket(id) else { return };
+        let Some(next) = connection.next() else { return };
+        let answer = match next {
+            Err(fault) => status_answer(fault.0),
+            Ok(message) => match admin::read(&message.line) {
+                Err(AdminError::NotFound) => status_answer(404),
+                Err(AdminError::MethodNotAllowed(allowed)) => {
+                    let allow = [("Allow", allowed.to_string())];
+                    PendingAnswer::Bytes(http::response(405, &allow, b"", false))
                 }
-                status(if there { 200 } else { 404 })
-            }
+                Ok(request) => self.answer_admin_request(request, now),
+            },
         };
-        self.called.push((key, answer));
+        self.admin.pending_answers.push((id, answer));
+    }
+
+    fn answer_admin_request(&mut self, request: AdminRequest, now: Millis) -> PendingAnswer {
+        match request {
+            AdminRequest::Stats => PendingAnswer::Stats,
+            AdminRequest::Members => match self.members_json() {
+                Some(json) => PendingAnswer::Bytes(json_response(&json)),
+                None => status_answer(404),
+            },
+            AdminRequest::Healthcheck => {
+                let is_healthy = self.upgrade.accepts_clients() && self.drain.is_healthy();
+                status_answer(if is_healthy { 200 } else { 503 })
+            }
+            AdminRequest::DisableWorker(_)
+            | AdminRequest::EnableWorker(_)
+            | AdminRequest::Drain
+            | AdminRequest::EndDrain => match self.apply_admin_request(&request, now) {
+                AdminOutcome::Applied => {
+                    self.send_to_peer(|| Message::AdminRequest(request));
+                    status_answer(200)
+                }
+                AdminOutcome::UnknownWorker => status_answer(404),
+            },
+        }
     }
 
-    /// Answers the calls of this turn. Guards against: a yes to what the module has not heard yet, and metrics from
-    /// before it.
-    pub(super) fn answer_calls(&mut self, now: Millis) {
-        for (key, answer) in std::mem::take(&mut self.called) {
-            let json = [("Content-Type", "application/json".to_string())];
-            let stats = |this: &Self| http::response(200, &json, this.stats().as_bytes(), false);
-            let answer = answer.unwrap_or_else(|| stats(self));
-            if let Some(Socket { role: Role::Admin(c), .. }) = self.socket(key) {
-                c.answer(&answer, false, now);
+    /// Answers the requests of this turn. Until now the dispatcher had not handled what they have changed: a yes would
+    /// have come too early, and metrics would be those of before.
+    pub(super) fn send_admin_answers(&mut self, now: Millis) {
+        for (id, answer) in std::mem::take(&mut self.admin.pending_answers) {
+            let bytes = match answer {
+                PendingAnswer::Bytes(bytes) => bytes,
+                PendingAnswer::Stats => json_response(&self.stats_json()),
+            };
+            if let Some(Socket { role: Role::Admin(connection), .. }) = self.socket(id) {
+                connection.answer(&bytes, false, now);
             }
-            self.drive(key);
+            self.drive(id);
         }
     }
 
-    /// Does what a call asks; says whether what it names is there.
-    pub(super) fn obey(&mut self, call: &AdminRequest, now: Millis) -> bool {
-        match call {
+    /// Does what a request asks for.
+    pub(super) fn apply_admin_request(&mut self, request: &AdminRequest, now: Millis) -> AdminOutcome {
+        match request {
             AdminRequest::Drain => {
                 self.drain.start_by_operator(now);
-                log::info!("drain by call: {} requests to finish", self.dispatch.unanswered_jobs());
+                log::info!("operator drain started: unanswered_jobs={}", self.dispatch.unanswered_jobs());
             }
             AdminRequest::EndDrain => {
                 self.drain.cancel_by_operator();
-                log::info!("the drain by call is over");
+                log::info!("operator drain ended");
             }
             AdminRequest::DisableWorker(name) => {
-                let Some(worker) = self.endpoints.disable(name) else { return false };
+                let Some(worker) = self.endpoints.disable(name) else { return AdminOutcome::UnknownWorker };
                 self.dispatch.worker_disabled(worker);
-                log::info!("{name} is taken out");
+                log::info!("worker disabled: worker={name}");
             }
             AdminRequest::EnableWorker(name) => {
-                let Some(worker) = self.endpoints.enable(name) else { return false };
+                let Some(worker) = self.endpoints.enable(name) else { return AdminOutcome::UnknownWorker };
                 self.dispatch.worker_enabled(worker);
-                log::info!("{name} is taken back");
+                log::info!("worker enabled: worker={name}");
             }
             AdminRequest::Healthcheck | AdminRequest::Stats | AdminRequest::Members => {}
         }
-        true
+        AdminOutcome::Applied
     }
 
-    fn stats(&self) -> String {
-        let waiting = self.dispatch.deferred_jobs().count(self.clock.now()).map(|c| DeferralGauges {
-            held: c.held,
-            released: c.released,
-            longest_wait_ms: c.longest_wait as u64,
+    fn stats_json(&self) -> String {
+        let deferred = self.dispatch.deferred_jobs().count(self.clock.now());
+        let waiting = deferred.map(|count| DeferralGauges {
+            held: count.held,
+            released: count.released,
+            longest_wait_ms: count.longest_wait as u64,
         });
-        let avoided = self.endpoints.listed_workers().filter(|worker| self.dispatch.avoids(*worker)).count();
+        let listed = self.endpoints.listed_workers();
+        let excluded = listed.filter(|worker| self.dispatch.avoids(*worker)).count();
         self.dispatch.metrics.json(Gauges {
             in_flight: self.dispatch.unanswered_jobs(),
             workers_known: self.endpoints.listed_workers().count(),
-            workers_excluded: avoided,
+            workers_excluded: excluded,
             members: self.members_gauges(),
             over_quota: self.dispatch.over_quota(),
             waiting,
         })
     }
 }
+
+fn is_admin(socket: &Socket) -> bool {
+    matches!(socket.role, Role::Admin(_))
+}
+
+fn status_answer(status: u16) -> PendingAnswer {
+    PendingAnswer::Bytes(http::response(status, &[], b"", false))
+}
+
+fn json_response(json: &str) -> Vec<u8> {
+    let headers = [("Content-Type", "application/json".to_string())];
+    http::response(200, &headers, json.as_bytes(), false)
+}
--- a/crates/node/src/event_loop/descriptor_passing.rs
+++ b/crates/node/src/event_loop/descriptor_passing.rs
@@ -1,4 +1,4 @@
-//! Descriptors that pass between two processes of one scheduler, and a new process's start with those of the one before.
+//! Descriptors that pass between the two processes of an upgrade, and where a process's listener comes from.
 
 use crate::clock::{Clock, Millis};
 use crate::upgrade_protocol::{Link, Message, SchedulerState};
@@ -7,7 +7,7 @@
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
 };
-use socket2::{Domain, Protocol, Type};
+use socket2::{Domain, Protocol, Socket, Type};
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -17,79 +17,108 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// The process that runs hands over within this time, or the new one starts without it.
-const PATIENCE: Millis = 1_000.0;
-/// Connections that may wait for the clients' listener: what the system gives at most.
-const BACKLOG: i32 = 4_096;
+/// The predecessor sends its state within this time, or the new process starts without it.
+const STATE_TIMEOUT: Millis = 1_000.0;
+/// Connections that may wait at the clients' listener: what the system gives at most.
+const LISTEN_BACKLOG: i32 = 4_096;
+/// Bytes that are read of the predecessor's state at a time.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Sends bytes and a descriptor along with them; at least one byte goes, or it fails.
-pub(super) fn send_along(stream: &UnixStream, bytes: &[u8], descriptor: BorrowedFd) -> io::Result<usize> {
+/// Sends bytes and a descriptor along with them; says how many bytes went out, one at least.
+///
+/// # Errors
+/// The system's reason; nothing went out then.
+pub(super) fn send_with_descriptor(
+    stream: &UnixStream,
+    bytes: &[u8],
+    descriptor: BorrowedFd,
+) -> io::Result<usize> {
     let descriptors = [descriptor];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut along = SendAncillaryBuffer::new(&mut space);
-    along.push(SendAncillaryMessage::ScmRights(&descriptors));
-    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut along, SendFlags::NOSIGNAL)?)
+    let mut ancillary = SendAncillaryBuffer::new(&mut space);
+    ancillary.push(SendAncillaryMessage::ScmRights(&descriptors));
+    Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut ancillary, SendFlags::NOSIGNAL)?)
 }
 
-/// Reads bytes and takes the descriptors that come along.
-pub(super) fn receive_along(
+/// Reads bytes into the buffer, says how many, and adds the descriptors that come along.
+///
+/// # Errors
+/// The system's reason.
+pub(super) fn receive_with_descriptors(
     stream: impl AsFd,
-    bytes: &mut [u8],
-    passed: &mut VecDeque<OwnedFd>,
+    buffer: &mut [u8],
+    descriptors: &mut VecDeque<OwnedFd>,
 ) -> io::Result<usize> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut along = RecvAncillaryBuffer::new(&mut space);
-    let read = recvmsg(stream, &mut [IoSliceMut::new(bytes)], &mut along, RecvFlags::CMSG_CLOEXEC)?.bytes;
-    for message in along.drain() {
-        if let RecvAncillaryMessage::ScmRights(descriptors) = message {
-            passed.extend(descriptors);
+    let mut ancillary = RecvAncillaryBuffer::new(&mut space);
+    let mut slices = [IoSliceMut::new(buffer)];
+    let length = recvmsg(stream, &mut slices, &mut ancillary, RecvFlags::CMSG_CLOEXEC)?.bytes;
+    for message in ancillary.drain() {
+        if let RecvAncillaryMessage::ScmRights(received) = message {
+            descriptors.extend(received);
         }
     }
-    Ok(read)
+    Ok(length)
+}
+
+/// The process that ran before this one, in an upgrade.
+pub(super) struct Predecessor {
+    /// Its state.
+    pub(super) state: SchedulerState,
+    /// The connection to it.
+    pub(super) stream: StdUnixStream,
+    /// Messages from and to it.
+    pub(super) link: Link,
 }
 
 /// What a process starts with.
 pub(super) struct Start {
-    /// The clients' listener, this process's own or the one that it was handed.
+    /// The clients' listener, this process's own or the predecessor's.
     pub(super) listener: TcpListener,
-    /// What the process before has told, and the way to it.
-    pub(super) before: Option<(SchedulerState, StdUnixStream, Link)>,
+    /// None: this process is alone.
+    pub(super) predecessor: Option<Predecessor>,
 }
 
-/// Gets the clients' listener from the process that holds it, or from the system.
-pub(super) fn start(listen: SocketAddr, path: Option<&Path>, clock: &Clock) -> io::Result<Start> {
-    if let Some(stream) = path.and_then(|path| StdUnixStream::connect(path).ok()) {
-        match inherit(&stream, clock) {
-            Ok((listener, state, link)) => {
-                return Ok(Start { listener, before: Some((state, stream, link)) })
-            }
-            Err(e) => log::warn!("upgrade: the process that runs hands nothing over: {e}"),
+/// Gets the clients' listener from the process that runs, or else from the system.
+///
+/// # Errors
+/// The address cannot be listened at.
+pub(super) fn start(listen: SocketAddr, socket_path: Option<&Path>, clock: &Clock) -> io::Result<Start> {
+    if let Some(stream) = socket_path.and_then(|path| StdUnixStream::connect(path).ok()) {
+        match receive_start(stream, clock) {
+            Ok(start) => return Ok(start),
+            Err(e) => log::warn!("upgrade failed: step=receive-state error={e}"),
         }
     }
-    let socket = socket2::Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
+    let socket = Socket::new(Domain::for_address(listen), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    // Guards against: a new version that cannot start since the one that runs does not hear it.
+    // A new version can start even if the process that runs does not answer it.
     socket.set_reuse_port(true)?;
     socket.bind(&listen.into())?;
-    socket.listen(BACKLOG)?;
-    Ok(Start { listener: socket.into(), before: None })
+    socket.listen(LISTEN_BACKLOG)?;
+    Ok(Start { listener: socket.into(), predecessor: None })
 }
 
-/// StartConditions for the listening socket and what the process before has to tell.
-fn inherit(stream: &StdUnixStream, clock: &Clock) -> io::Result<(TcpListener, SchedulerState, Link)> {
-    let (mut link, mut passed, until) = (Link::default(), VecDeque::new(), clock.now() + PATIENCE);
-    let mut bytes = vec![0; 64 * 1024];
+/// Waits for the predecessor's state and the listener that comes along with it.
+fn receive_start(stream: StdUnixStream, clock: &Clock) -> io::Result<Start> {
+    let mut link = Link::default();
+    let mut descriptors = VecDeque::new();
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    let deadline = clock.now() + STATE_TIMEOUT;
     loop {
-        let left = Duration::from_secs_f64((until - clock.now()).max(1.0) / 1e3);
-        stream.set_read_timeout(Some(left))?;
-        let read = receive_along(stream, &mut bytes, &mut passed)?;
+        let left = (deadline - clock.now()).max(1.0);
+        stream.set_read_timeout(Some(Duration::from_secs_f64(left / 1e3)))?;
+        let length = receive_with_descriptors(&stream, &mut buffer, &mut descriptors)?;
         // The state comes first, and alone.
-        let state = link.receive(&bytes[..read]).into_iter().next();
-        match (state, passed.pop_front()) {
-            (Some(Message::State(state)), Some(listener)) => return Ok((listener.into(), state, link)),
+        let message = link.receive(&buffer[..length]).into_iter().next();
+        match (message, descriptors.pop_front()) {
+            (Some(Message::State(state)), Some(listener)) => {
+                let predecessor = Some(Predecessor { state, stream, link });
+                return Ok(Start { listener: listener.into(), predecessor });
+            }
             (Some(other), _) => return Err(io::Error::other(format!("it began with {other:?}"))),
-            (None, _) if read == 0 || clock.now() >= until => return Err(ErrorKind::TimedOut.into()),
-            (None, earlier) => passed.extend(earlier),
+            (None, _) if length == 0 || clock.now() >= deadline => return Err(ErrorKind::TimedOut.into()),
+            (None, listener) => descriptors.extend(listener),
         }
     }
 }
--- /dev/null
+++ b/crates/node/src/event_loop/idle_downstreams.rs
@@ -0,0 +1,94 @@
+//! Downstream connections that may be closed: to free descriptors, and near the end of a drain.
+
+use super::{ConnectionId, EventLoop, Role, Socket};
+use crate::answer::Answer;
+use crate::clock::Millis;
+use crate::downstream::{Connection, State};
+use std::io::ErrorKind;
+
+/// How a connection is used, by which idle ones are closed: those that never had a request first, those of workers
+/// last, and the one that has been idle for longest first among equals.
+struct IdleRank {
+    brings_job_status: bool,
+    has_served: bool,
+    used_at: Millis,
+}
+
+impl IdleRank {
+    fn new(connection: &Connection) -> Self {
+        IdleRank {
+            brings_job_status: connection.brings_job_status,
+            has_served: connection.has_served(),
+            used_at: connection.used_at,
+        }
+    }
+
+    fn compare(&self, other: &IdleRank) -> std::cmp::Ordering {
+        let by_job_status = self.brings_job_status.cmp(&other.brings_job_status);
+        let by_served = self.has_served.cmp(&other.has_served);
+        by_job_status.then(by_served).then(self.used_at.total_cmp(&other.used_at))
+    }
+}
+
+impl EventLoop {
+    /// Closes a connection that is of little use: one that has had its last answer, else an idle one. Says whether
+    /// there was one.
+    pub(super) fn close_unneeded_downstream(&mut self) -> bool {
+        let has_last_answer =
+            |socket: &&Socket| socket.role.downstream().is_some_and(|connection| connection.write_shut);
+        let answered = self.sockets.iter().find(has_last_answer).map(|socket| socket.id);
+        let Some(id) = answered.or_else(|| self.first_idle_downstream()) else { return false };
+        self.close(id);
+        true
+    }
+
+    fn first_idle_downstream(&self) -> Option<ConnectionId> {
+        let now = self.clock.now();
+        let mut idle = Vec::new();
+        for socket in self.sockets.iter() {
+            if let Some(connection) = socket.role.downstream().filter(|c| c.may_close(now)) {
+                idle.push((IdleRank::new(connection), socket.id));
+            }
+        }
+        idle.sort_by(|(rank, _), (other, _)| rank.compare(other));
+        idle.into_iter().map(|(_, id)| id).find(|id| self.has_nothing_unread(*id))
+    }
+
+    /// Closes clients' connections on which no request is under way, near the end of a drain.
+    pub(super) fn close_idle_downstreams(&mut self, now: Millis) {
+        let is_idle = |connection: &Connection| connection.may_close(now) && !connection.brings_job_status;
+        let mut idle = self.sockets.ids(|socket| socket.role.downstream().is_some_and(is_idle));
+        idle.retain(|id| self.has_nothing_unread(*id));
+        for id in idle {
+            self.close(id);
+        }
+    }
+
+    /// Rejects requests of which only a part has come: there is no time left for the rest.
+    pub(super) fn reject_partial_requests(&mut self, now: Millis) {
+        let partial = self.sockets.ids(|socket| socket.role.downstream().is_some_and(Connection::is_partial));
+        for id in partial {
+            if let Some(Socket { role: Role::Downstream(connection, _), .. }) = self.socket(id) {
+                connection.give_up_request();
+            }
+            let rejected = Answer::Rejected { retry_after: 0.0 };
+            self.reply(id, now, false, |keep_alive| rejected.bytes(keep_alive));
+            self.drive(id);
+        }
+    }
+
+    /// Whether unread bytes wait on a connection that takes requests.
+    pub(super) fn has_unread_requests(&self) -> bool {
+        let takes_requests = |connection: &Connection| connection.state() == State::Open;
+        self.sockets.iter().any(|socket| {
+            socket.role.downstream().is_some_and(takes_requests)
+                && socket.stream.peek(&mut [0]).is_ok_and(|length| length > 0)
+        })
+    }
+
+    /// Whether a connection is open and nothing on it is unread. To close one on an unread request would lose that.
+    fn has_nothing_unread(&self, id: ConnectionId) -> bool {
+        let Some(socket) = self.sockets.get(id) else { return false };
+        socket.stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+    }
+}
--- a/crates/node/src/event_loop/signals.rs
+++ b/crates/node/src/event_loop/signals.rs
@@ -6,62 +6,77 @@
 use signal_hook::consts::SIGHUP;
 
 impl EventLoop {
-    pub(super) fn signalled(&mut self) {
-        for signal in self.signals.pending().collect::<Vec<_>>() {
+    /// Signals have come.
+    pub(super) fn handle_signals(&mut self) {
+        let pending: Vec<_> = self.signals.pending().collect();
+        for signal in pending {
             match signal {
-                SIGHUP => self.reload(),
+                SIGHUP => self.reload_configuration(),
                 _ => self.terminate(),
             }
         }
     }
 
+    /// Begins the shutdown.
     pub(super) fn terminate(&mut self) {
         if !self.drain.is_shutting_down() {
-            log::info!("SIGTERM: {} requests to finish", self.dispatch.unanswered_jobs());
+            log::info!("shutdown started: unanswered_jobs={}", self.dispatch.unanswered_jobs());
         }
         self.drain.start_shutdown(self.clock.now());
-        if !self.drain.has_successor() {
-            if self.members.as_ref().is_some_and(|m| m.taken.is_none()) {
-                self.leave_members();
-            }
-            self.drain.shutdown_deadline().into_iter().for_each(|at| self.dispatch.set_shutdown_deadline(at));
-            self.dispatch.close_deferral();
+        if self.drain.has_successor() {
+            return;
+        }
+        if self.members.as_ref().is_some_and(|members| members.taken.is_none()) {
+            self.leave_members();
         }
+        if let Some(deadline) = self.drain.shutdown_deadline() {
+            self.dispatch.set_shutdown_deadline(deadline);
+        }
+        self.dispatch.close_deferral();
     }
 
-    /// Takes over what the configuration file says now, as far as that can be done without a restart; nothing
-    /// under way is disturbed. A file that cannot be read changes nothing.
-    fn reload(&mut self) {
+    /// Applies the configuration file as it is now, as far as that can be done without a restart; nothing under way is
+    /// disturbed. A file with any mistake changes nothing.
+    fn reload_configuration(&mut self) {
         let new = match self.reload.read() {
             Ok(new) => new,
             Err(e) => {
                 self.dispatch.metrics.reloads_failed += 1;
-                return log::error!("SIGHUP: the configuration stays as it was: {e}");
+                return log::error!("configuration reload failed: error={e}");
             }
         };
         self.dispatch.metrics.reloads_ok += 1;
-        self.descriptors = new.sockets;
-        self.share();
-        new.waiting.into_iter().for_each(|limits| self.dispatch.set_deferral_limits(limits));
-        let moved = new.discovery != self.discovery;
-        log::info!("SIGHUP: discovery at {}{}", new.discovery, if moved { "" } else { ", as before" });
+        self.limits.set_descriptors(new.sockets);
+        self.divide_descriptors();
+        if let Some(limits) = new.waiting {
+            self.dispatch.set_deferral_limits(limits);
+        }
+        let has_moved = self.watch.is_elsewhere(new.discovery);
+        log::info!("configuration reloaded: discovery={} moved={has_moved}", new.discovery);
         if !new.restart.is_empty() {
-            log::warn!("SIGHUP: only a restart takes over another {}", new.restart.join(", "));
+            log::warn!("restart needed: changed={}", new.restart.join(", "));
         }
-        if moved {
+        if has_moved {
             self.move_watch(new.discovery);
         }
     }
 
+    /// Logs the counters, and how often each invariant was broken.
     pub(super) fn log_counters(&self, when: &str) {
-        let (f, open, broken) = (&self.dispatch.metrics, self.sockets.len(), invariant::broken());
-        let [served, refused, failed] =
-            [FinalStatus::Served, FinalStatus::Rejected, FinalStatus::Failed].map(|how| f.total(how));
-        let (taken, left, attempts, short) = (f.taken, f.left, f.attempts, f.short);
+        let metrics = &self.dispatch.metrics;
+        let taken = metrics.taken;
+        let served = metrics.total(FinalStatus::Served);
+        let refused = metrics.total(FinalStatus::Rejected);
+        let failed = metrics.total(FinalStatus::Failed);
+        let left = metrics.left;
+        let attempts = metrics.attempts;
+        let short = metrics.short;
+        let open = self.sockets.len();
+        let denials = metrics.denials();
+        let broken = invariant::broken();
         log::info!(
             "{when}: taken={taken} served={served} refused={refused} failed={failed} left={left} \
-             attempts={attempts} short={short} open={open}{}{broken}",
-            f.denials()
+             attempts={attempts} short={short} open={open}{denials}{broken}"
         );
     }
 }
--- a/crates/node/src/event_loop/upstreams.rs
+++ b/crates/node/src/event_loop/upstreams.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: attempts, probes and withdrawals on them, and what becomes of each.
+//! Connections to workers: attempts, health checks and cancellations on them, and how each ends.
 
 use super::{ConnectionId, EventLoop, Role, Socket};
 use crate::clock::Millis;
@@ -6,144 +6,173 @@
 use crate::invariant::{holds, Invariant};
 use crate::upstream::{self, End, Task};
 use postusher_decision::{AttemptId, JobId, WorkerId};
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
+use std::net::SocketAddr;
 
-/// A probe that takes longer has failed: by far more than an answer beside the queue takes.
-const HEALTH_CHECK_LIMIT: Millis = 120.0;
-/// A worker says within this time that it has a job, on a connection that is up; it took 26 ms at most where that was
-/// measured. Guards against: a connection that has fallen silent, or a machine that has vanished, on which a job
-/// would wait until its client gives up.
-pub(super) const TAKEN_LIMIT: Millis = 200.0;
-/// A withdrawal that takes longer is let go.
-const CANCELLATION_LIMIT: Millis = 2_000.0;
-/// An idle connection is dropped after this part of the time for which workers keep theirs.
-const KEPT_PART: f64 = 0.8;
+/// A health check that takes longer has failed: by far more than an answer beside the queue takes.
+const HEALTH_CHECK_TIMEOUT: Millis = 120.0;
+/// A worker confirms within this time that it has a job, on a connection that is up. On one that has fallen silent, or
+/// to a machine that has vanished, a job would else wait until its client gives up.
+pub(super) const ACCEPTANCE_TIMEOUT: Millis = 200.0;
+/// A cancellation that takes longer is dropped.
+const CANCELLATION_TIMEOUT: Millis = 2_000.0;
+/// An idle connection is closed after this part of the time for which workers keep theirs.
+const KEEP_ALIVE_FRACTION: f64 = 0.8;
 
 impl EventLoop {
-    /// Makes a call of the scheduler's own to a worker.
-    pub(super) fn call(&mut self, worker: WorkerId, task: Task, line: &RequestLine, now: Millis) {
-        let host = self.endpoints.get(worker).map(|t| t.addr.to_string()).unwrap_or_default();
+    /// Makes a request of the scheduler's own to a worker.
+    pub(super) fn send_task(&mut self, worker: WorkerId, task: Task, line: &RequestLine, now: Millis) {
+        let host = self.endpoints.get(worker).map(|listed| listed.addr.to_string()).unwrap_or_default();
         let request = http::request(line, &[("Host", host.as_bytes())], b"");
-        let Some(key) = self.start_task(worker, task, now) else { return };
-        if let Some(Socket { role: Role::Upstream(c), .. }) = self.socket(key) {
-            c.write(&request);
+        let Some(id) = self.start_task(worker, task, now) else { return };
+        if let Some(Socket { role: Role::Upstream(connection), .. }) = self.socket(id) {
+            connection.write(&request);
         }
-        self.flush(key);
+        self.flush(id);
     }
 
-    /// Makes an attempt of a job.
-    pub(super) fn attempt(&mut self, job: JobId, attempt: AttemptId, worker: WorkerId, now: Millis) {
-        let Some(key) = self.start_task(worker, Task::Attempt(job, attempt), now) else { return };
-        if self.socket(key).is_some_and(|s| !s.connecting) {
-            self.begin_attempt(key);
+    /// Starts an attempt of a job.
+    pub(super) fn start_attempt(&mut self, job: JobId, attempt: AttemptId, worker: WorkerId, now: Millis) {
+        let Some(id) = self.start_task(worker, Task::Attempt(job, attempt), now) else { return };
+        if self.socket(id).is_some_and(|socket| !socket.is_connecting) {
+            self.begin_attempt(id);
         }
     }
 
-    /// Writes an attempt's request, as its connection is up. The one place where a job leaves for a worker: a connection may have
-    /// come up long after the decision, and meanwhile the client may have left, the job's time may be over, and the worker may
-    /// drain, be gone or have moved.
-    pub(super) fn begin_attempt(&mut self, key: ConnectionId) {
+    /// Writes an attempt's request, as its connection is up. The one place where a job leaves for a worker: a
+    /// connection may come up long after the decision, and meanwhile the client may have left, the job's time may be
+    /// over, and the worker may drain, be removed or have moved.
+    pub(super) fn begin_attempt(&mut self, id: ConnectionId) {
         let now = self.clock.now();
-        let Some(Socket { role: Role::Upstream(c), stream, .. }) = self.socket(key) else { return };
-        let (Some(task @ Task::Attempt(job, attempt)), worker) = (c.task(), c.worker) else { return };
-        let at = stream.peer_addr().ok();
-        let is_there = self.endpoints.get(worker).is_some_and(|t| Some(t.addr) == at);
-        let request = self.dispatch.begin_attempt(job, attempt, is_there, now);
-        let request = request.filter(|_| holds(Invariant::ListCurrent, self.list_is_current(now)));
-        let Some(Socket { role: Role::Upstream(c), .. }) = self.socket(key) else { return };
+        let Some(Socket { role: Role::Upstream(connection), stream, .. }) = self.socket(id) else { return };
+        let worker = connection.worker;
+        let Some(task @ Task::Attempt(job, attempt)) = connection.task() else { return };
+        let address = stream.peer_addr().ok();
+        let is_listed = self.endpoints.get(worker).is_some_and(|listed| Some(listed.addr) == address);
+        let request = self.dispatch.begin_attempt(job, attempt, is_listed, now);
+        let request = request.filter(|_| holds(Invariant::ListCurrent, self.is_list_within_drain_grace(now)));
+        let Some(Socket { role: Role::Upstream(connection), .. }) = self.socket(id) else { return };
         if let Some(request) = request {
-            c.write(&request);
-            return self.flush(key);
+            connection.write(&request);
+            return self.flush(id);
         }
-        c.give_up();
-        if is_there {
-            self.rest(key);
+        connection.give_up();
+        if is_listed {
+            self.release_upstream(id);
         } else {
-            self.close(key);
+            self.close(id);
         }
-        self.task_ended(task, End::Withheld, worker, now);
+        self.handle_task_end(task, End::Withheld, worker, now);
     }
 
-    /// Has a worker's idle connection used last, or a new one, take on a task. `None`: there is none, and the task has ended.
+    /// Has a connection to a worker take on a task; `None`: there is no connection, and the task has ended.
     fn start_task(&mut self, worker: WorkerId, task: Task, now: Millis) -> Option<ConnectionId> {
-        let limit = match task {
-            Task::Attempt(..) => now + TAKEN_LIMIT,
-            Task::Cancellation => now + CANCELLATION_LIMIT,
-            Task::HealthCheck(_) => now + HEALTH_CHECK_LIMIT,
-        };
-        let Some(addr) = self.endpoints.get(worker).map(|t| t.addr) else {
-            // A withdrawal from a worker that is gone says nothing that matters.
+        let Some(address) = self.endpoints.get(worker).map(|listed| listed.addr) else {
+            // A cancellation at a worker that is removed says nothing that matters.
             holds(Invariant::TargetListed, !matches!(task, Task::Attempt(..)));
-            self.task_ended(task, End::NotSent, worker, now);
+            self.handle_task_end(task, End::NotSent, worker, now);
             return None;
         };
-        // Only an attempt is mistaken by a second answer to what came before: probes and withdrawals leave it the quiet ones.
-        let quiet_by = if matches!(task, Task::Attempt(..)) { now } else { f64::INFINITY };
-        let key = match self.pool.take(worker, quiet_by) {
-            Some(key) => Ok(key),
-            None => {
-                let attempt = matches!(task, Task::Attempt(..));
-                let by = if attempt { now + self.site.connect_timeout_ms } else { limit };
-                self.open(addr, Role::Upstream(upstream::Connection::new(worker)), by)
-            }
-        };
-        let key = match key {
-            Ok(key) => key,
-            Err(e) if e.kind() == ErrorKind::QuotaExceeded => {
-                self.short(now);
-                self.task_ended(task, End::NotSent, worker, now);
-                return None;
-            }
+        let id = match self.upstream_for(worker, address, task, now) {
+            Ok(id) => id,
             Err(e) => {
-                log::warn!("no connection to {addr}: {e}");
-                self.task_ended(task, End::NotSent, worker, now);
+                if e.kind() == ErrorKind::QuotaExceeded {
+                    self.count_shortage(now);
+                } else {
+                    log::warn!("connect failed: address={address} error={e}");
+                }
+                self.handle_task_end(task, End::NotSent, worker, now);
                 return None;
             }
         };
-        let socket = self.socket(key)?;
-        let Role::Upstream(c) = &mut socket.role else { return None };
-        c.start(task);
-        if !socket.connecting {
-            self.set_deadline(key, limit);
+        let socket = self.socket(id)?;
+        let Role::Upstream(connection) = &mut socket.role else { return None };
+        connection.start(task);
+        if !socket.is_connecting {
+            self.set_deadline(id, now + timeout(task));
         }
         if let Task::Attempt(job, attempt) = task {
-            self.pool.attempts.insert((job, attempt), key);
+            self.pool.attempts.insert((job, attempt), id);
+        }
+        Some(id)
+    }
+
+    /// The idle connection to a worker that was used last, or a new one.
+    fn upstream_for(
+        &mut self,
+        worker: WorkerId,
+        address: SocketAddr,
+        task: Task,
+        now: Millis,
+    ) -> io::Result<ConnectionId> {
+        let is_attempt = matches!(task, Task::Attempt(..));
+        // Only an attempt can take a late second answer for its own: other tasks leave it the quiet connections.
+        let quiet_by = if is_attempt { now } else { f64::INFINITY };
+        if let Some(id) = self.pool.take(worker, quiet_by) {
+            return Ok(id);
         }
-        Some(key)
+        let connect_timeout = if is_attempt { self.site.connect_timeout_ms } else { timeout(task) };
+        let connection = upstream::Connection::new(worker);
+        self.connect(address, Role::Upstream(connection), now + connect_timeout)
     }
 
-    /// Says how a task ended to whom it concerns.
-    pub(super) fn task_ended(&mut self, task: Task, end: End, worker: WorkerId, now: Millis) {
+    /// Reports how a task ended to whom it concerns.
+    pub(super) fn handle_task_end(&mut self, task: Task, end: End, worker: WorkerId, now: Millis) {
         match task {
             Task::Attempt(job, attempt) => {
                 self.pool.attempts.remove(&(job, attempt));
                 self.dispatch.attempt_sent(job, attempt, end, now);
             }
             Task::HealthCheck(worker) => self.dispatch.health_check_ended(worker, Some(end)),
-            Task::Cancellation => log::debug!("withdrawal at {worker:?}: {end:?}"),
+            Task::Cancellation => log::debug!("cancellation ended: worker={worker:?} end={end:?}"),
         }
     }
 
-    /// Gives up what a connection is used for.
-    pub(super) fn abandon(&mut self, key: ConnectionId) {
-        if let Some(Socket { role: Role::Upstream(c), .. }) = self.socket(key) {
-            c.give_up();
-            self.rest(key);
+    /// Gives up an attempt that its worker has not accepted yet.
+    pub(super) fn abandon_attempt(&mut self, job: JobId, attempt: AttemptId) {
+        let Some(id) = self.pool.attempts.remove(&(job, attempt)) else { return };
+        if let Some(Socket { role: Role::Upstream(connection), .. }) = self.socket(id) {
+            connection.give_up();
+            self.release_upstream(id);
         }
     }
 
-    /// Puts a connection to a worker away, if it has nothing to do.
-    pub(super) fn rest(&mut self, key: ConnectionId) {
+    /// Returns a connection to the pool if it has no task, and closes it if it is of no more use.
+    pub(super) fn release_upstream(&mut self, id: ConnectionId) {
         let now = self.clock.now();
-        let kept = now + self.site.settings.keepalive as f64 / 1e3 * KEPT_PART;
-        let Some(Socket { role: Role::Upstream(c), .. }) = self.socket(key) else { return };
-        if c.is_closed() {
-            self.close(key);
-        } else if c.is_idle() {
-            let (worker, usable_from) = (c.worker, c.usable_from(now));
-            self.pool.remove(worker, key);
-            self.pool.put(worker, key, usable_from);
-            self.set_deadline(key, kept);
+        let keep_alive = self.site.settings.keepalive as f64 / 1e3 * KEEP_ALIVE_FRACTION;
+        let Some(Socket { role: Role::Upstream(connection), .. }) = self.socket(id) else { return };
+        if connection.is_closed() {
+            self.close(id);
+        } else if connection.is_idle() {
+            let worker = connection.worker;
+            let usable_from = connection.usable_from(now);
+            self.pool.remove(worker, id);
+            self.pool.put(worker, id, usable_from);
+            self.set_deadline(id, now + keep_alive);
         }
     }
+
+    /// Closes an idle connection to any worker; says whether there was one.
+    pub(super) fn close_idle_upstream(&mut self) -> bool {
+        let Some(id) = self.pool.any() else { return false };
+        self.close(id);
+        true
+    }
+
+    /// Closes all idle connections to a worker.
+    pub(super) fn close_idle_upstreams_of(&mut self, worker: WorkerId) {
+        for id in self.pool.take_all(worker) {
+            self.close(id);
+        }
+    }
+}
+
+/// How long a task may take on a connection that is up.
+fn timeout(task: Task) -> Millis {
+    match task {
+        Task::Attempt(..) => ACCEPTANCE_TIMEOUT,
+        Task::Cancellation => CANCELLATION_TIMEOUT,
+        Task::HealthCheck(_) => HEALTH_CHECK_TIMEOUT,
+    }
 }
--- a/crates/node/src/event_loop/watch.rs
+++ b/crates/node/src/event_loop/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery's list: one call after the other, each as soon as the last is answered.
+//! The watch on the endpoint list: one call to discovery after the other, each as soon as the last is answered.
 
 use super::{ConnectionId, EventLoop, Role, Socket};
 use crate::clock::Millis;
@@ -8,134 +8,182 @@
 use postusher_settings::micros_from_millis;
 use std::net::SocketAddr;
 
+/// How far the watch is.
+pub(super) struct ListWatch {
+    /// Where discovery answers.
+    discovery: SocketAddr,
+    /// A list holds this many bytes at most.
+    max_list_bytes: usize,
+    /// The connection of the call under way.
+    connection: Option<ConnectionId>,
+    /// Discovery has been called since the start.
+    was_called: bool,
+    /// Since when an answer has begun that was not applied yet.
+    answer_started_at: Option<Millis>,
+}
+
+impl ListWatch {
+    /// A watch that has not begun.
+    pub(super) fn new(discovery: SocketAddr, max_list_bytes: usize) -> ListWatch {
+        ListWatch { discovery, max_list_bytes, connection: None, was_called: false, answer_started_at: None }
+    }
+
+    /// Whether a call is under way.
+    pub(super) fn is_active(&self) -> bool {
+        self.connection.is_some()
+    }
+
+    /// Whether discovery answers elsewhere from now on.
+    pub(super) fn is_elsewhere(&self, discovery: SocketAddr) -> bool {
+        self.discovery != discovery
+    }
+
+    /// A connection to discovery was closed.
+    pub(super) fn connection_closed(&mut self, id: ConnectionId) {
+        if self.connection == Some(id) {
+            self.connection = None;
+        }
+    }
+}
+
 impl EventLoop {
-    /// Where lists are pushed, an agent has what is new from the first moment and it counts as told: the watch begins with the
-    /// process. Where they have to be asked for, the module says when.
+    /// Begins the watch where lists are pushed: what is new then counts as notified from the start of the process.
+    /// Where they have to be polled, the dispatcher says when.
     pub(super) fn watch_pushed_list(&mut self, now: Millis) {
-        if !self.site.settings.list_is_polled && self.watch.is_none() {
-            self.watch(now);
+        if !self.site.settings.list_is_polled {
+            self.ensure_watch(now);
+        }
+    }
+
+    /// Calls discovery, unless a call is under way.
+    pub(super) fn ensure_watch(&mut self, now: Millis) {
+        if !self.watch.is_active() {
+            self.start_watch(now);
         }
     }
 
     /// Makes the next call of the watch on a new connection.
-    pub(super) fn watch(&mut self, now: Millis) {
-        self.list_asked = true;
-        let mut connection = Connection::new(self.max_list);
-        connection.call(self.endpoints.next_call(), self.discovery, now);
-        let given_up_at = connection.given_up_at;
-        match self.open(self.discovery, Role::Discovery(connection), given_up_at) {
-            Ok(key) => self.watch = Some(key),
-            Err(e) => self.watch_failed(&DiscoveryError::NoConnection(e.to_string())),
+    fn start_watch(&mut self, now: Millis) {
+        let discovery = self.watch.discovery;
+        self.watch.was_called = true;
+        let mut connection = Connection::new(self.watch.max_list_bytes);
+        connection.call(self.endpoints.next_call(), discovery, now);
+        let deadline = connection.given_up_at;
+        match self.connect(discovery, Role::Discovery(connection), deadline) {
+            Ok(id) => self.watch.connection = Some(id),
+            Err(e) => self.handle_watch_failure(&DiscoveryError::NoConnection(e.to_string())),
         }
     }
 
-    /// Whether the process is ready for clients. Guards against: jobs for workers that were gone before this process began,
-    /// as its own list is of long ago while what discovery had told by then counts as told.
+    /// Whether the process is ready for clients. Its own list may be of long ago, while what discovery had published
+    /// before its start counts as notified: jobs could go to workers that are gone.
     pub(super) fn is_ready(&self, now: Millis) -> bool {
         self.dispatch.is_list_current(now)
     }
 
-    /// A job has come. Guards against: a process that starts with a list of long ago and only later asks whether it still
-    /// holds, while its jobs wait for that.
+    /// A job has come. A process that starts with an old list asks at its first job, not later, whether it still
+    /// holds: jobs wait for that.
     pub(super) fn confirm_list(&mut self, now: Millis) {
-        if self.watch.is_none() && !self.list_asked {
-            self.watch(now);
+        if !self.watch.was_called {
+            self.ensure_watch(now);
         }
     }
 
-    /// Discovery is elsewhere: the watch at the old place ends, and the whole list is called for at the new one.
-    /// The list held stays in use until that has come.
+    /// Discovery answers elsewhere: the watch at the old address ends, and the new one is asked for the complete list.
+    /// The list at hand stays in use until that has come.
     pub(super) fn move_watch(&mut self, discovery: SocketAddr) {
-        if let Some(key) = self.watch.take() {
-            self.close(key);
+        if let Some(id) = self.watch.connection.take() {
+            self.close(id);
         }
-        self.discovery = discovery;
+        self.watch.discovery = discovery;
         self.endpoints.discovery_moved();
         self.dispatch.discovery_moved();
     }
 
-    /// The module says when to ask again.
-    fn watch_failed(&mut self, why: &DiscoveryError) {
+    /// The dispatcher says when to call again.
+    fn handle_watch_failure(&mut self, why: &DiscoveryError) {
         self.endpoints.set_confirmed(false);
         log::warn!("discovery: {why}");
         if why.hides_list() {
-            self.list_begun(self.clock.now());
+            self.note_answer_start(self.clock.now());
         }
         self.dispatch.endpoint_list(ListUpdate::Failed, Vec::new());
     }
 
-    /// More of an answer has come, and not yet all.
-    pub(super) fn list_comes_in(&mut self, key: ConnectionId, now: Millis) {
-        let Some(Socket { role: Role::Discovery(c), .. }) = self.socket(key) else { return };
-        if !c.has_begun() {
+    /// A part of an answer has come.
+    pub(super) fn handle_partial_list(&mut self, id: ConnectionId, now: Millis) {
+        let Some(Socket { role: Role::Discovery(connection), .. }) = self.socket(id) else { return };
+        if !connection.has_begun() {
             return;
         }
-        let until = c.given_up_at.min(now + STALLED);
-        self.set_deadline(key, until);
-        self.list_begun(now);
+        let deadline = connection.given_up_at.min(now + STALLED);
+        self.set_deadline(id, deadline);
+        self.note_answer_start(now);
     }
 
-    /// What discovery has begun to say counts as told from now on.
-    fn list_begun(&mut self, now: Millis) {
-        self.answer_begun.get_or_insert(now);
-        self.dispatch.endpoint_list(ListUpdate::AnswerStarted { at: micros_from_millis(now) }, Vec::new());
+    /// What discovery has begun to send counts as notified from now on.
+    fn note_answer_start(&mut self, now: Millis) {
+        self.watch.answer_started_at.get_or_insert(now);
+        let update = ListUpdate::AnswerStarted { at: micros_from_millis(now) };
+        self.dispatch.endpoint_list(update, Vec::new());
     }
 
-    /// Whether the list held is none that was replaced so long ago that a drain among the changes had its grace. Checks the
-    /// module's own rule from the outside.
-    pub(super) fn list_is_current(&self, now: Millis) -> bool {
+    /// Whether no newer list began to come so long ago that a worker may drain by it whose grace is over. Checks the
+    /// dispatcher's rule from outside.
+    pub(super) fn is_list_within_drain_grace(&self, now: Millis) -> bool {
         let grace = self.site.settings.drain_grace as f64 / 1e3;
-        self.answer_begun.is_none_or(|since| now < since + grace)
+        self.watch.answer_started_at.is_none_or(|since| now < since + grace)
     }
 
-    /// Takes in what discovery tells.
-    fn take_list(&mut self, list: List) {
+    fn apply_list(&mut self, list: List) {
         let ListChange { update, endpoints, stale } = self.endpoints.apply(list);
         self.endpoints.set_confirmed(true);
-        self.answer_begun = None;
-        let (changed, listed) = (endpoints.len(), self.endpoints.listed_workers().count());
-        log::debug!("discovery: {update:?} list with {changed} lines taken in, {listed} workers listed");
+        self.watch.answer_started_at = None;
+        let changed = endpoints.len();
+        let listed = self.endpoints.listed_workers().count();
+        log::debug!("list applied: update={update:?} entries={changed} workers={listed}");
         if update == ListUpdate::Complete {
-            self.ready_for_clients();
+            self.become_ready();
         }
         for worker in stale {
-            self.pool.take_all(worker).into_iter().for_each(|key| self.close(key));
+            self.close_idle_upstreams_of(worker);
         }
         self.dispatch.endpoint_list(update, endpoints);
     }
 
     /// A call to discovery has ended.
-    pub(super) fn discovered(
+    pub(super) fn handle_discovery_answer(
         &mut self,
-        key: ConnectionId,
+        id: ConnectionId,
         answer: Result<Answer, DiscoveryError>,
         now: Millis,
     ) {
         let Answer { list, keep_alive } = match answer {
             Ok(answer) => answer,
             Err(why) => {
-                self.close(key);
-                return self.watch_failed(&why);
+                self.close(id);
+                return self.handle_watch_failure(&why);
             }
         };
         if self.endpoints.is_newer_than(&list) {
-            // Guards against: a list of before a drain, by which its workers would get jobs again. Discovery may as well have begun
-            // anew, and then its whole list is as good as any.
-            log::warn!("discovery: an answer older than the list held; the whole list is asked for");
+            // By a list from before a drain its workers would get jobs again. Discovery may as well have started anew,
+            // and then its complete list is as good as any.
+            log::warn!("discovery: answer older than the list at hand; asking for the complete list");
             self.endpoints.discovery_moved();
         } else {
-            self.take_list(list);
+            self.apply_list(list);
         }
         // A watch goes on only if the next call comes at once.
         if !keep_alive {
-            self.close(key);
-            return self.watch(now);
+            self.close(id);
+            return self.start_watch(now);
         }
-        let (call, discovery) = (self.endpoints.next_call(), self.discovery);
-        let Some(Socket { role: Role::Discovery(c), .. }) = self.socket(key) else { return };
-        c.call(call, discovery, now);
-        let given_up_at = c.given_up_at;
-        self.set_deadline(key, given_up_at);
-        self.flush(key);
+        let call = self.endpoints.next_call();
+        let discovery = self.watch.discovery;
+        let Some(Socket { role: Role::Discovery(connection), .. }) = self.socket(id) else { return };
+        connection.call(call, discovery, now);
+        let deadline = connection.given_up_at;
+        self.set_deadline(id, deadline);
+        self.flush(id);
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -26,6 +26,7 @@
 mod metrics;
 #[cfg(test)]
 mod model;
+mod net;
 mod reload;
 mod upgrade_protocol;
 mod upstream;
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The workers' side of a connection, without its socket: one task at a time, and the idle ones of each worker.
+//! The client side of a connection to a worker, without its socket: one task at a time. And the pool of idle ones.
 
 use crate::clock::Millis;
 use crate::connection_id::ConnectionId;
@@ -7,18 +7,18 @@
 use postusher_decision::{AttemptId, JobId, WorkerId};
 use std::collections::HashMap;
 
-/// A connection is used again so long after its last answer. Guards against: a second answer that comes some milliseconds after
-/// the first, taken for that of the next request: a job that runs would be sent elsewhere, too.
-pub const QUIET: Millis = 20.0;
+/// A connection is used again so long after its last answer. A worker's erroneous second answer, some milliseconds
+/// after the first, would be taken for that of the next request, and a job that runs would be sent elsewhere, too.
+const REUSE_DELAY: Millis = 20.0;
 
 /// What a connection is used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Task {
-    /// An attempt of a job, until the worker has taken it.
+    /// An attempt of a job, until the worker has accepted it.
     Attempt(JobId, AttemptId),
-    /// Telling a worker that an attempt is given up.
+    /// The cancellation of an attempt.
     Cancellation,
-    /// Looking at a worker's load.
+    /// A health check of a worker.
     HealthCheck(WorkerId),
 }
 
@@ -31,10 +31,13 @@
     NotSent,
     /// Before its first byte was written, as it is not to be sent any more; nothing is wrong with the connection.
     Withheld,
-    /// After that, without an answer.
+    /// After its last byte was written, without an answer.
     Broken,
-    /// On a kept connection that broke: before its last byte was written, or after.
-    Stale { sent: bool },
+    /// On a reused connection that broke.
+    Stale {
+        /// Its last byte was written.
+        sent: bool,
+    },
 }
 
 /// A connection to a worker.
@@ -45,120 +48,134 @@
     /// The request on its way.
     pub outbox: Outbox,
     task: Option<Task>,
-    /// The request of the task at hand was put into the outbox. Guards against: one that waits for its connection, taken for
-    /// one that was sent.
-    written: bool,
-    /// It has brought an answer before the task at hand. Guards against: one that stood idle and was cut off by
-    /// something on the way, taken for a worker in ill health.
-    kept: bool,
-    up: bool,
-    open: bool,
+    /// The request of the task was put into the outbox. While it waits for the connection the outbox is empty, too.
+    is_written: bool,
+    /// It has brought an answer before this task. If it breaks now, something on the way may have cut it off while it
+    /// stood idle: the worker's health shows nothing of that.
+    is_reused: bool,
+    is_up: bool,
+    is_open: bool,
 }
 
 impl Connection {
-    /// A connection that is being opened.
+    /// A connection whose connect has begun.
     pub fn new(worker: WorkerId) -> Self {
-        let (decoder, outbox) = (Decoder::new(), Outbox::default());
-        Connection { worker, decoder, outbox, task: None, written: false, kept: false, up: false, open: true }
+        Connection {
+            worker,
+            decoder: Decoder::new(),
+            outbox: Outbox::default(),
+            task: None,
+            is_written: false,
+            is_reused: false,
+            is_up: false,
+            is_open: true,
+        }
     }
 
     /// Takes on a task; its request is written when the connection is up.
     pub fn start(&mut self, task: Task) {
-        if holds(Invariant::ConnectionIdle, self.open && self.task.is_none()) {
-            (self.task, self.written) = (Some(task), false);
+        if holds(Invariant::ConnectionIdle, self.is_open && self.task.is_none()) {
+            self.task = Some(task);
+            self.is_written = false;
         }
     }
 
-    /// Writes the request of the task at hand.
+    /// Writes the request of the task.
     pub fn write(&mut self, request: &[u8]) {
-        if holds(Invariant::ConnectionIdle, self.task.is_some() && !self.written) {
+        if holds(Invariant::ConnectionIdle, self.task.is_some() && !self.is_written) {
             self.outbox.put(request);
-            self.written = true;
+            self.is_written = true;
         }
     }
 
     /// Whether the last byte of the request was written to the socket.
     fn is_sent(&self) -> bool {
-        self.written && self.outbox.unsent().is_empty()
+        self.is_written && self.outbox.unsent().is_empty()
     }
 
-    /// It is up.
+    /// The connect has succeeded.
     pub fn connected(&mut self) {
-        self.up = true;
+        self.is_up = true;
     }
 
-    /// What it is used for.
+    /// What it is used for; `None`: nothing.
     pub fn task(&self) -> Option<Task> {
         self.task
     }
 
-    /// Whether it is up.
+    /// Whether the connect has succeeded.
     pub fn is_up(&self) -> bool {
-        self.up
+        self.is_up
     }
 
     /// Whether it can be given a task.
     pub fn is_idle(&self) -> bool {
-        self.open && self.up && self.task.is_none()
+        self.is_open && self.is_up && self.task.is_none()
     }
 
-    /// From when on it can be used again.
+    /// From when on it can be given an attempt.
     pub fn usable_from(&self, now: Millis) -> Millis {
-        now + if self.kept { QUIET } else { 0.0 }
+        if self.is_reused {
+            now + REUSE_DELAY
+        } else {
+            now
+        }
     }
 
     /// Whether it is of no more use.
     pub fn is_closed(&self) -> bool {
-        !self.open
+        !self.is_open
     }
 
-    /// Takes in what was read; says if that ends the task.
+    /// Takes in what was read; says if and how that ends the task.
     pub fn receive(&mut self, bytes: &[u8]) -> Option<(Task, End)> {
         self.decoder.feed(bytes);
         loop {
             match self.decoder.next() {
-                Ok(Some(m)) if (100..200).contains(&m.line.status) => continue,
-                Ok(Some(m)) => return self.answered(m),
-                // Guards against: bytes that nobody asked for, which the next task would take for its answer.
-                Ok(None) if self.task.is_none() && !self.decoder.is_empty() => self.open = false,
-                Ok(None) => {}
+                Ok(Some(message)) if (100..200).contains(&message.line.status) => {}
+                Ok(Some(message)) => return self.answered(message),
+                Ok(None) => {
+                    if self.task.is_none() && !self.decoder.is_empty() {
+                        // The next task would take these bytes for the begin of its answer.
+                        self.is_open = false;
+                    }
+                    return None;
+                }
                 Err(_) => return self.broken(),
             }
-            return None;
         }
     }
 
     fn answered(&mut self, message: Message<StatusLine>) -> Option<(Task, End)> {
         // An answer before the request's last byte leaves the rest of it unread.
-        self.open &= message.keep_alive && self.decoder.is_empty() && self.is_sent();
+        self.is_open &= message.keep_alive && self.decoder.is_empty() && self.is_sent();
         let task = self.task.take();
-        self.kept = true;
-        self.open &= task.is_some();
+        self.is_reused = true;
+        self.is_open &= task.is_some();
         Some((task?, End::Answer(message)))
     }
 
-    /// It never came up, ended or failed; says how that ends the task.
+    /// It never came up, ended or failed; says how that ends the task, if there is one.
     pub fn broken(&mut self) -> Option<(Task, End)> {
-        self.open = false;
-        let whole = self.decoder.end();
-        let end = match whole {
+        self.is_open = false;
+        let end = match self.decoder.end() {
             Some(message) => End::Answer(message),
-            None if self.kept => End::Stale { sent: self.is_sent() },
+            None if self.is_reused => End::Stale { sent: self.is_sent() },
             None if self.is_sent() => End::Broken,
             None => End::NotSent,
         };
         Some((self.task.take()?, end))
     }
 
-    /// Its worker says nothing, which is not the connection's age.
-    pub fn silent(&mut self) {
-        self.kept = false;
+    /// Its worker has not answered in time. That is not for the age of the connection.
+    pub fn timed_out(&mut self) {
+        self.is_reused = false;
     }
 
-    /// The task is given up. A request of which nothing was written is taken back; else the connection is done.
+    /// Gives up the task. A request of which nothing was written is taken back; else the connection is closed.
     pub fn give_up(&mut self) {
         if self.task.take().is_some() {
-            self.open &= !self.is_sent() && !self.outbox.is_begun();
+            self.is_open &= !self.is_sent() && !self.outbox.is_begun();
             self.outbox.clear();
         }
     }
@@ -166,35 +183,36 @@
 
 /// A connection without a task.
 struct Idle {
-    key: ConnectionId,
+    id: ConnectionId,
     usable_from: Millis,
 }
 
-/// The idle connections of each worker, the one used last on top, and where attempts are under way.
+/// The idle connections of each worker, and where attempts are under way.
 #[derive(Default)]
 pub struct Pool {
+    /// The one used last is at the end.
     idle: HashMap<WorkerId, Vec<Idle>>,
-    /// Attempts that no worker has taken yet.
+    /// Attempts that no worker has accepted yet.
     pub attempts: HashMap<(JobId, AttemptId), ConnectionId>,
 }
 
 impl Pool {
-    /// Keeps an idle connection that may be used again from a time on.
-    pub fn put(&mut self, worker: WorkerId, key: ConnectionId, usable_from: Millis) {
-        self.idle.entry(worker).or_default().push(Idle { key, usable_from });
+    /// Adds an idle connection that may be given an attempt from a time on.
+    pub fn put(&mut self, worker: WorkerId, id: ConnectionId, usable_from: Millis) {
+        self.idle.entry(worker).or_default().push(Idle { id, usable_from });
     }
 
-    /// Takes the idle connection used last, of those that will have been quiet for long enough by a time.
-    pub fn take(&mut self, worker: WorkerId, quiet_by: Millis) -> Option<ConnectionId> {
+    /// Takes the idle connection used last, of those that are usable by a time.
+    pub fn take(&mut self, worker: WorkerId, usable_by: Millis) -> Option<ConnectionId> {
         let idle = self.idle.get_mut(&worker)?;
-        let last = idle.iter().rposition(|i| i.usable_from <= quiet_by)?;
-        Some(idle.remove(last).key)
+        let last = idle.iter().rposition(|connection| connection.usable_from <= usable_by)?;
+        Some(idle.remove(last).id)
     }
 
-    /// A connection is no longer there.
-    pub fn remove(&mut self, worker: WorkerId, key: ConnectionId) {
+    /// Removes a connection, if it is idle.
+    pub fn remove(&mut self, worker: WorkerId, id: ConnectionId) {
         if let Some(idle) = self.idle.get_mut(&worker) {
-            idle.retain(|i| i.key != key);
+            idle.retain(|connection| connection.id != id);
             if idle.is_empty() {
                 self.idle.remove(&worker);
             }
@@ -203,51 +221,15 @@
 
     /// Takes all idle connections of a worker.
     pub fn take_all(&mut self, worker: WorkerId) -> Vec<ConnectionId> {
-        self.idle.remove(&worker).unwrap_or_default().into_iter().map(|i| i.key).collect()
+        let idle = self.idle.remove(&worker).unwrap_or_default();
+        idle.into_iter().map(|connection| connection.id).collect()
     }
 
     /// Any idle connection, of those idle for longest at their workers.
     pub fn any(&self) -> Option<ConnectionId> {
-        self.idle.values().find_map(|idle| idle.first().map(|i| i.key))
+        self.idle.values().find_map(|idle| idle.first().map(|connection| connection.id))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::http;
-
-    #[test]
-    fn a_connection_is_used_again_once_it_has_been_quiet_and_the_last_of_those_first() {
-        let (worker, mut pool) = (WorkerId(1), Pool::default());
-        let mut c = Connection::new(worker);
-        c.connected();
-        assert_eq!(c.usable_from(100.0), 100.0); // it has brought no answer yet
-        c.start(Task::HealthCheck(worker));
-        c.write(b"x");
-        c.outbox.sent(1);
-        assert!(c.receive(&http::response(200, &[], b"", true)).is_some());
-        assert_eq!(c.usable_from(100.0), 100.0 + QUIET);
-        [(1, 120.0), (2, 121.0), (3, 125.0)]
-            .into_iter()
-            .for_each(|(key, from)| pool.put(worker, ConnectionId::test(key), from));
-        assert!(pool.take(worker, 119.0).is_none());
-        assert_eq!(pool.take(worker, 122.0), Some(ConnectionId::test(2)));
-        assert_eq!(pool.take(worker, 122.0), Some(ConnectionId::test(1)));
-        assert_eq!((pool.take(worker, 122.0), pool.take_all(worker)), (None, vec![ConnectionId::test(3)]));
-    }
-
-    #[test]
-    fn a_second_answer_closes_the_connection_that_it_comes_on() {
-        let answer = http::response(202, &[], b"", true);
-        for second in [&answer[..], &answer[..5], b"x"] {
-            let mut c = Connection::new(WorkerId(1));
-            c.connected();
-            c.start(Task::Attempt(JobId(1), AttemptId(0)));
-            c.write(b"x");
-            c.outbox.sent(1);
-            assert!(c.receive(&answer).is_some() && c.is_idle());
-            assert!(c.receive(second).is_none() && c.is_closed());
-        }
-    }
-}
+mod tests;
--- a/crates/node/tests/serve/discovery.rs
+++ b/crates/node/tests/serve/discovery.rs
@@ -27,7 +27,7 @@
     let good = std::fs::read_to_string(&path).unwrap();
     std::fs::write(&path, "{").unwrap();
     s.signal("-HUP");
-    s.logs("SIGHUP: the configuration stays as it was");
+    s.logs("configuration reload failed: error=");
     let new = TcpListener::bind("127.0.0.1:0").unwrap();
     let (from, to) = (s.discovery.local_addr().unwrap(), new.local_addr().unwrap());
     std::fs::write(&path, good.replace(&from.to_string(), &to.to_string())).unwrap();
--- a/crates/node/tests/serve/main.rs
+++ b/crates/node/tests/serve/main.rs
@@ -175,11 +175,11 @@
     client.message();
     assert!(s.call("GET /stats").1.contains(served));
     s.signal("-HUP");
-    s.logs("SIGHUP: discovery at");
+    s.logs("configuration reloaded: discovery=");
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("figures.json");
     std::fs::write(&path, "{").unwrap();
     s.signal("-HUP");
-    s.logs("SIGHUP: the configuration stays as it was");
+    s.logs("configuration reload failed: error=");
     let last = r#""in_flight":0,"workers_known":1,"workers_excluded":0,"reloads_ok":1,"reloads_failed":1"#;
     assert!(s.call("GET /stats").1.contains(last));
     drop(silent);
@@ -214,7 +214,7 @@
     assert!(s.says_yes("PUT /workers/s-1/maint") && s.says_yes("PUT /workers/s-1/maint"));
     assert!(s.call("GET /stats").1.contains(r#""workers_known":1,"workers_excluded":1"#));
     s.signal("-HUP");
-    s.logs("SIGHUP: discovery at");
+    s.logs("configuration reloaded: discovery=");
     client.job("t1");
     assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
     assert!(s.says_yes("PUT /workers/s-1/ready"));
@@ -271,7 +271,7 @@
     target.as_mut().unwrap().message();
     target.as_mut().unwrap().send(TAKEN);
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     up.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(up.message().0, "HTTP/1.1 503 Service Unavailable");
     assert!(up.ends());
--- a/crates/node/tests/serve/rig.rs
+++ b/crates/node/tests/serve/rig.rs
@@ -123,7 +123,7 @@
         let mut new = self.newer();
         assert!(!new.says_yes("GET /healthcheck"));
         let list = self.listed_whole();
-        new.logs("ready: this process takes clients now");
+        new.logs("accepting clients: role=successor");
         assert!(new.says_yes("GET /healthcheck"));
         (new, [old, list])
     }
--- a/crates/node/tests/serve/shutdown.rs
+++ b/crates/node/tests/serve/shutdown.rs
@@ -29,7 +29,7 @@
     let mut half = s.connect();
     half.send("POST /render HTTP/1.1\r\nX-Trace-Id: t2\r\nContent-Le");
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     half.send("ngth: 0\r\n\r\n");
     let mut kept = Some(worker);
     assert!(s.next_request(&mut kept).message().1.contains("X-Trace-Id: t2\r\n"));
@@ -45,7 +45,7 @@
 fn a_request_half_read_as_the_process_ends_is_refused_not_dropped() {
     let (mut s, mut client, _worker, _watch) = at_work("half-read-at-end");
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     done(&s, "t1");
     assert_eq!(client.message().0, "HTTP/1.1 200 OK");
     // The connection is open still; what begins on it now has an answer, whole or not.
@@ -63,7 +63,7 @@
 fn a_request_half_read_at_the_very_end_of_the_time_is_refused() {
     let (mut s, _client, _worker, _watch) = at_work("half-read-late");
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     // It stands still, so that the half comes at a time from which a request may take longer than the process has left.
     s.signal("-STOP");
     let mut half = s.connect();
@@ -80,7 +80,7 @@
     let (mut s, mut client, worker, _watch) = at_work("pipelined");
     client.job("t2");
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     done(&s, "t1");
     assert_eq!(client.message().0, "HTTP/1.1 200 OK");
     let mut kept = Some(worker);
@@ -98,7 +98,7 @@
     s.signal("-HUP");
     s.signal("-TERM");
     s.signal("-CONT");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     done(&s, "t1");
     assert_eq!(client.message().0, "HTTP/1.1 200 OK");
     ends_well(s);
@@ -109,7 +109,7 @@
     let (mut s, mut client, _worker, _watch) = at_work("term-in-drain");
     assert!(s.says_yes("PUT /healthcheck/fail"));
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     done(&s, "t1");
     assert_eq!(client.message().0, "HTTP/1.1 200 OK");
     ends_well(s);
@@ -119,7 +119,7 @@
 fn sigterm_before_the_first_list_answers_what_still_comes() {
     let mut s = Scheduler::unconfirmed("term-before-list", 1);
     s.signal("-TERM");
-    s.logs("SIGTERM: 0 requests");
+    s.logs("shutdown started: unanswered_jobs=0");
     let (mut client, mut late) = (s.connect(), s.connect());
     client.job("t1");
     in_flight(&s, 1);
@@ -147,7 +147,7 @@
 fn sigterm_with_a_discovery_that_never_answers_refuses_what_still_comes() {
     let mut s = Scheduler::unconfirmed("term-without-list", 1);
     s.signal("-TERM");
-    s.logs("SIGTERM: 0 requests");
+    s.logs("shutdown started: unanswered_jobs=0");
     let mut client = s.connect();
     client.job("t1");
     assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
@@ -161,7 +161,7 @@
     idle.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(idle.message().0, "HTTP/1.1 200 OK");
     s.signal("-TERM");
-    s.logs("SIGTERM: 1 request");
+    s.logs("shutdown started: unanswered_jobs=1");
     // It stands still until the time to close idle connections is over, and a request has come meanwhile.
     s.signal("-STOP");
     idle.job("t2");
--- a/crates/node/tests/serve/upgrades.rs
+++ b/crates/node/tests/serve/upgrades.rs
@@ -13,7 +13,7 @@
     assert!(old.says_yes("PUT /workers/s-1/maint"));
     assert!(old.says_yes("PUT /healthcheck/fail"));
     let (mut new, _watches) = old.upgraded(); // with a yes, although it sends clients away as the old one does
-    old.logs("the newer process takes clients now");
+    old.logs("no longer accepting clients: role=predecessor");
     let mut up = new.connect();
     up.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(up.message().0, "HTTP/1.1 503 Service Unavailable");
@@ -34,7 +34,7 @@
     drop(client);
     old.signal("-TERM");
     assert!(old.process.wait().unwrap().success());
-    new.logs("this one is alone");
+    new.logs("upgrade peer exited");
     let mut client = new.connect();
     client.job("t2");
     assert!(Peer::new(new.target.accept().unwrap().0).message().1.contains("X-Trace-Id: t2\r\n"));
@@ -52,7 +52,7 @@
     target.message();
     target.send(TAKEN);
     let (new, _watches) = old.upgraded();
-    old.logs("the newer process takes clients now");
+    old.logs("no longer accepting clients: role=predecessor");
     old.signal("-TERM");
     // It ends although the job goes on, and ends neither connection with it.
     assert!(old.process.wait().unwrap().success());
@@ -75,13 +75,13 @@
     let mut list = Peer::new(old.discovery.accept().unwrap().0);
     list.message();
     new.signal("-TERM");
-    new.logs("SIGTERM: 0 requests");
+    new.logs("shutdown started: unanswered_jobs=0");
     let known = r#"{"version":42,"full":true,"servers":[]}"#;
     list.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{known}", known.len()));
     assert!(new.process.wait().unwrap().success());
     let mut line = String::new();
-    while !line.contains("this one is alone") {
-        assert!(!line.contains("the newer process takes clients"));
+    while !line.contains("upgrade peer exited") {
+        assert!(!line.contains("no longer accepting clients"));
         line.clear();
         assert!(old.log.read_line(&mut line).unwrap() > 0);
     }
@@ -99,13 +99,13 @@
     let (mut new, watches) = old.upgraded();
     assert!(is_up(&old));
     new.process.kill().unwrap();
-    old.logs("this one is alone");
+    old.logs("upgrade peer exited");
     assert!(is_up(&old) && old.says_yes("GET /healthcheck"));
     drop((new, watches));
     // The old one dies before the next has had a list: that one takes clients all the same, once it has.
     let mut new = old.newer();
     old.process.kill().unwrap();
-    new.logs("this one is alone");
+    new.logs("upgrade peer exited");
     let _watch = new.listed_whole();
     assert!(is_up(&new) && new.says_yes("GET /healthcheck"));
     // What an ended process has left at the meeting place stops no start.
@@ -130,7 +130,7 @@
         let mut client = new.connect();
         client.send("POST /price HTTP/1.1\r\nX-Trace-Id: t1\r\nContent-Length: 0\r\n\r\n");
         if other {
-            new.logs("the older process has other settings: nothing that it learned is taken over");
+            new.logs("learned state dropped: reason=\"other settings\"");
             assert!(Peer::new(new.target.accept().unwrap().0).message().0.starts_with("POST /price "));
         } else {
             assert_eq!(client.message().0, "HTTP/1.1 404 Not Found");
@@ -147,7 +147,7 @@
         text.replace(r#""Name": "render", "Effect": "repeatable""#, r#""Name": "price", "Effect": "once""#);
     std::fs::write(&s.config, other).unwrap();
     s.signal("-HUP");
-    s.logs("only a restart takes over another settings");
+    s.logs("restart needed: changed=settings");
     let mut client = s.connect();
     client.job("t1");
     assert!(Peer::new(s.target.accept().unwrap().0).message().1.contains("X-Trace-Id: t1\r\n"));
--- a/crates/node/tests/serve/waiting.rs
+++ b/crates/node/tests/serve/waiting.rs
@@ -257,12 +257,12 @@
     assert_eq!(status(&mut client(&s, "t2", "X-Start-In: 50000m\r\n")), "503");
     setup("sighup", "<postusher><waiting most-jobs=\"2\"/></postusher>");
     s.signal("-HUP");
-    s.logs("SIGHUP: discovery at");
+    s.logs("configuration reloaded: discovery=");
     let _second = client(&s, "t3", "X-Start-In: 50000m\r\n");
     shows(&s, r#""held":2"#);
     setup("sighup", "<postusher/>");
     s.signal("-HUP");
-    s.logs("only a restart takes over another <waiting>");
+    s.logs("restart needed: changed=<waiting>");
     shows(&s, r#""held":2"#);
 }
 
