--- /dev/null
+++ b/crates/node/src/direct/event_loop/attempts.rs
@@ -0,0 +1,203 @@
+//! Attempts of requests at workers, and their answers.
+
+use super::connection::{PoolWorker, RequestAttempt, Role, Upstream};
+use super::EventLoop;
+use crate::clock::Millis;
+use crate::connection_id::ConnectionId;
+use crate::direct::response::framed;
+use crate::direct::service::{RequestId, RequestState};
+use mio::net::TcpStream;
+use postusher_decision::{AttemptId, AttemptResult, WorkerId};
+use postusher_direct::{request_head, response_head, Framing, Head, Piece, CHUNKS_END};
+use std::net::SocketAddr;
+
+/// A worker's connection without a request is closed after this time.
+const KEEP_ALIVE: Millis = 10_000.0;
+
+impl EventLoop {
+    /// Sends a request to a worker, as far as it has come.
+    pub(super) fn start_attempt(
+        &mut self,
+        request: RequestId,
+        attempt: AttemptId,
+        worker: WorkerId,
+        address: SocketAddr,
+        now: Millis,
+    ) {
+        let sendable = self.exchanges.get_mut(&request).filter(|exchange| exchange.can_be_sent());
+        let Some(exchange) = sendable else {
+            let result = AttemptResult::NotSent;
+            return self.service.attempt_ended(request, attempt, result, RequestState::Open, now);
+        };
+        let mut bytes = request_head(&exchange.head, &exchange.target);
+        bytes.extend_from_slice(&exchange.body);
+        let is_head_request = exchange.head.method() == "HEAD";
+        exchange.attempt = attempt;
+        let id = match self.upstream_for(PoolWorker { pool: request.pool, worker }, address) {
+            Ok(id) => id,
+            Err(result) => {
+                return self.service.attempt_ended(request, attempt, result, RequestState::Open, now);
+            }
+        };
+        if let Some(upstream) = self.upstream(id) {
+            upstream.current = Some(RequestAttempt { request, attempt });
+            upstream.has_written = false;
+            upstream.has_received = false;
+            upstream.reader.headless = is_head_request;
+            upstream.outbox.put(&bytes);
+        }
+        let setup = self.service.pool(request.pool);
+        let is_connecting = self.sockets.get(id).is_some_and(|socket| socket.is_connecting);
+        let timeout = if is_connecting { setup.connect_timeout } else { setup.timeout };
+        self.set_deadline(id, now + timeout);
+        if let Some(exchange) = self.exchanges.get_mut(&request) {
+            exchange.upstream = Some(id);
+            self.to_drive.push(exchange.downstream); // more of the body may be passed on now
+        }
+        self.flush(id);
+    }
+
+    /// The idle connection to a worker that was used last, or a new one. The error is how an attempt ends without one.
+    fn upstream_for(
+        &mut self,
+        place: PoolWorker,
+        address: SocketAddr,
+    ) -> Result<ConnectionId, AttemptResult> {
+        if let Some(id) = self.idle_upstreams.take(place) {
+            return Ok(id);
+        }
+        if self.upstreams >= self.max_upstreams && !self.close_idle_upstream() {
+            return Err(AttemptResult::NotSent);
+        }
+        let role = Role::Upstream(Upstream::new(place));
+        let added = TcpStream::connect(address).and_then(|stream| self.add(stream, role, true));
+        added.map_err(|e| {
+            log::warn!("connect failed: address={address} error={e}");
+            AttemptResult::ConnectFailed
+        })
+    }
+
+    /// Closes an idle connection to any worker; says whether there was one.
+    fn close_idle_upstream(&mut self) -> bool {
+        let Some(id) = self.idle_upstreams.take_any() else { return false };
+        self.close(id);
+        true
+    }
+
+    /// Cancels an attempt.
+    pub(super) fn cancel_attempt(&mut self, request: RequestId, attempt: AttemptId, now: Millis) {
+        self.stop_attempt(request, attempt, AttemptResult::Cancelled, now);
+    }
+
+    /// Closes the connection of an attempt, if it is the one pending, and reports its end.
+    fn stop_attempt(&mut self, request: RequestId, attempt: AttemptId, result: AttemptResult, now: Millis) {
+        if let Some(exchange) = self.exchanges.get_mut(&request) {
+            if exchange.attempt == attempt {
+                if let Some(id) = exchange.upstream.take() {
+                    self.close(id);
+                }
+            }
+        }
+        self.service.attempt_ended(request, attempt, result, RequestState::Open, now);
+    }
+
+    /// The client of a request has left: nothing is done for it any more.
+    pub(super) fn abandon_request(&mut self, request: RequestId) {
+        let now = self.clock.now();
+        let Some(exchange) = self.exchanges.get(&request) else { return };
+        let attempt = exchange.attempt;
+        let is_pending = exchange.upstream.is_some();
+        self.service.client_disconnected(request);
+        if is_pending {
+            self.stop_attempt(request, attempt, AttemptResult::Cancelled, now);
+        }
+        self.exchanges.remove(&request);
+    }
+
+    /// The time of a request is over; an answer that has begun may go on.
+    pub(super) fn handle_request_timeout(&mut self, request: RequestId, now: Millis) {
+        let Some(exchange) = self.exchanges.get(&request) else { return };
+        if exchange.answer_framing.is_none() && exchange.upstream.is_some() {
+            let attempt = exchange.attempt;
+            self.stop_attempt(request, attempt, AttemptResult::TimedOut, now);
+        }
+    }
+
+    /// A piece of a worker's answer has come.
+    pub(super) fn handle_answer_piece(
+        &mut self,
+        id: ConnectionId,
+        current: RequestAttempt,
+        piece: Piece,
+        now: Millis,
+    ) {
+        match piece {
+            Piece::Head(head) if head.status() == 101 => {
+                // That would end HTTP on this connection, which nobody has asked for.
+                self.handle_disconnect(id);
+            }
+            Piece::Head(head) if (100..200).contains(&head.status()) => {}
+            Piece::Head(head) => self.begin_answer(id, current, &head),
+            Piece::Body(bytes) => self.handle_answer_body(id, current, &bytes, now),
+            Piece::End => self.complete_answer(id, current, now),
+        }
+    }
+
+    fn begin_answer(&mut self, id: ConnectionId, current: RequestAttempt, head: &Head) {
+        let is_shutting_down = self.is_shutting_down();
+        let Some(exchange) = self.exchanges.get_mut(&current.request) else { return };
+        let is_head_request = exchange.head.method() == "HEAD";
+        let may_keep = exchange.head.keeps && exchange.is_body_complete && !is_shutting_down;
+        let (bytes, framing, keep_alive) =
+            response_head(head, exchange.head.modern, is_head_request, may_keep);
+        exchange.answer_framing = Some(framing);
+        let client = exchange.downstream;
+        if let Some(upstream) = self.upstream(id) {
+            upstream.is_reusable = head.keeps;
+        }
+        if let Some(downstream) = self.downstream(client) {
+            downstream.is_last |= !keep_alive;
+            downstream.outbox.put(&bytes);
+        }
+        self.service.answer_streaming(current.request, current.attempt);
+        self.flush(client);
+    }
+
+    fn handle_answer_body(&mut self, id: ConnectionId, current: RequestAttempt, bytes: &[u8], now: Millis) {
+        let Some(exchange) = self.exchanges.get(&current.request) else { return };
+        let Some(framing) = exchange.answer_framing else { return };
+        let client = exchange.downstream;
+        let timeout = self.service.pool(current.request.pool).timeout;
+        self.extend_deadline(id, now + timeout);
+        if let Some(downstream) = self.downstream(client) {
+            downstream.outbox.put(&framed(framing, bytes));
+        }
+        self.flush(client);
+    }
+
+    /// An answer has come whole.
+    pub(super) fn complete_answer(&mut self, id: ConnectionId, current: RequestAttempt, now: Millis) {
+        let RequestAttempt { request, attempt } = current;
+        let Some(exchange) = self.exchanges.remove(&request) else { return };
+        let result = AttemptResult::Success;
+        self.service.attempt_ended(request, attempt, result, RequestState::Answered, now);
+        self.release_upstream(id, exchange.is_body_complete, now);
+        let end = if exchange.answer_framing == Some(Framing::Chunked) { CHUNKS_END } else { b"" };
+        self.end_answer(exchange.downstream, end, true);
+    }
+
+    /// Keeps a worker's connection for the next request, if it can take one; else closes it.
+    fn release_upstream(&mut self, id: ConnectionId, is_request_complete: bool, now: Millis) {
+        let Some(upstream) = self.upstream(id) else { return };
+        upstream.current = None;
+        let is_flushed = upstream.outbox.unsent().is_empty();
+        let can_be_reused = upstream.is_reusable && is_request_complete && is_flushed;
+        if can_be_reused && upstream.reader.is_idle() {
+            let place = upstream.place;
+            self.set_deadline(id, now + KEEP_ALIVE);
+            self.idle_upstreams.put(place, id);
+        } else {
+            self.close(id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/direct/event_loop/connections.rs
@@ -0,0 +1,219 @@
+//! Connections of clients, operators and workers: accepted, closed and timed out.
+
+use super::connection::{Downstream, RequestAttempt, Role, Socket, Upstream};
+use super::{EventLoop, Timer};
+use crate::clock::Millis;
+use crate::connection_id::ConnectionId;
+use crate::direct::service::RequestState;
+use crate::net::{self, Accepted};
+use mio::net::TcpStream;
+use postusher_decision::AttemptResult;
+use postusher_direct::Wrong;
+use std::io;
+
+/// Connections accepted in one turn.
+const ACCEPT_BUDGET: usize = 64;
+/// The head of a request must be whole within this time, from the connection's start or from its first byte.
+pub(super) const REQUEST_HEAD_TIMEOUT: Millis = 10_000.0;
+
+impl EventLoop {
+    /// Accepts clients' connections that wait, up to the budget of a turn.
+    pub(super) fn accept_downstreams(&mut self) {
+        for _ in 0..ACCEPT_BUDGET {
+            // Those beyond the limit wait in the system's queue until a connection closes.
+            if self.downstreams >= self.max_downstreams || self.is_shutting_down() {
+                self.may_accept = false;
+                return;
+            }
+            match net::accept(&self.listener) {
+                Accepted::Connection(stream) => self.add_downstream(stream, Downstream::new(false)),
+                Accepted::NoneWaiting => {
+                    self.may_accept = false;
+                    return;
+                }
+                Accepted::Retry => {}
+                Accepted::Failed(e) => {
+                    self.may_accept = false;
+                    return log::warn!("accept failed: error={e}");
+                }
+            }
+        }
+    }
+
+    /// Accepts operators' connections that wait.
+    pub(super) fn accept_admin_connections(&mut self) {
+        loop {
+            let Some(listener) = &self.admin_listener else { return };
+            let Accepted::Connection(stream) = net::accept(listener) else { return };
+            self.add_downstream(stream, Downstream::new(true));
+        }
+    }
+
+    fn add_downstream(&mut self, stream: TcpStream, downstream: Downstream) {
+        let deadline = self.clock.now() + REQUEST_HEAD_TIMEOUT;
+        match self.add(stream, Role::Downstream(downstream), false) {
+            Ok(id) => {
+                self.set_deadline(id, deadline);
+                self.drive(id);
+            }
+            Err(e) => log::warn!("connection not polled: error={e}"),
+        }
+    }
+
+    /// Takes on a connection; it is looked at when it is ready.
+    ///
+    /// # Errors
+    /// It cannot be polled; it is closed then.
+    pub(super) fn add(
+        &mut self,
+        stream: TcpStream,
+        role: Role,
+        is_connecting: bool,
+    ) -> io::Result<ConnectionId> {
+        let _ = stream.set_nodelay(true); // without it there is a delay at worst
+        let is_downstream = matches!(role, Role::Downstream(_));
+        let id = self.sockets.insert(self.poll.registry(), stream, role, is_connecting)?;
+        if is_downstream {
+            self.downstreams += 1;
+        } else {
+            self.upstreams += 1;
+        }
+        Ok(id)
+    }
+
+    /// A client's or operator's connection, if it is still open.
+    pub(super) fn downstream(&mut self, id: ConnectionId) -> Option<&mut Downstream> {
+        match self.sockets.get_mut(id) {
+            Some(Socket { role: Role::Downstream(downstream), .. }) => Some(downstream),
+            _ => None,
+        }
+    }
+
+    /// A worker's connection, if it is still open.
+    pub(super) fn upstream(&mut self, id: ConnectionId) -> Option<&mut Upstream> {
+        match self.sockets.get_mut(id) {
+            Some(Socket { role: Role::Upstream(upstream), .. }) => Some(upstream),
+            _ => None,
+        }
+    }
+
+    /// Has a connection looked at again at a time.
+    pub(super) fn set_deadline(&mut self, id: ConnectionId, deadline: Millis) {
+        if let Some(socket) = self.sockets.get_mut(id) {
+            socket.deadline = deadline;
+            self.timers.set(deadline, Timer::Connection(id));
+        }
+    }
+
+    /// Puts off the time at which a connection is looked at; the timer that is set finds the new one.
+    pub(super) fn extend_deadline(&mut self, id: ConnectionId, deadline: Millis) {
+        if let Some(socket) = self.sockets.get_mut(id) {
+            socket.deadline = deadline;
+        }
+    }
+
+    /// Closes a connection, if it is still open.
+    pub(super) fn close(&mut self, id: ConnectionId) {
+        let Some(socket) = self.sockets.remove(self.poll.registry(), id) else { return };
+        match socket.role {
+            Role::Downstream(_) => {
+                self.downstreams -= 1;
+                self.may_accept |= !self.is_shutting_down();
+            }
+            Role::Upstream(upstream) => {
+                self.upstreams -= 1;
+                self.idle_upstreams.remove(upstream.place, id);
+            }
+        }
+    }
+
+    /// The peer has closed a connection.
+    pub(super) fn handle_peer_close(&mut self, id: ConnectionId) {
+        let now = self.clock.now();
+        if let Some(upstream) = self.upstream(id) {
+            if let Some(current) = upstream.current {
+                // Where the answer goes to the end of the connection, it is complete by that.
+                if upstream.reader.closed() {
+                    upstream.is_reusable = false;
+                    return self.complete_answer(id, current, now);
+                }
+            }
+        }
+        self.handle_disconnect(id);
+    }
+
+    /// A connection has ended, failed or run out of time.
+    pub(super) fn handle_disconnect(&mut self, id: ConnectionId) {
+        let now = self.clock.now();
+        let Some(socket) = self.sockets.get_mut(id) else { return };
+        match &mut socket.role {
+            Role::Downstream(downstream) => {
+                let request = downstream.request.take();
+                self.close(id);
+                if let Some(request) = request {
+                    self.abandon_request(request);
+                }
+            }
+            Role::Upstream(upstream) => {
+                let current = upstream.current;
+                let result = if socket.is_connecting || !upstream.has_written {
+                    AttemptResult::ConnectFailed // what was not written cannot have run
+                } else if socket.deadline <= now {
+                    AttemptResult::TimedOut
+                } else if upstream.is_reusable && !upstream.has_received {
+                    AttemptResult::StaleConnection
+                } else {
+                    AttemptResult::Reset
+                };
+                self.close(id);
+                if let Some(current) = current {
+                    self.handle_broken_attempt(current, result, now);
+                }
+            }
+        }
+    }
+
+    /// The connection of an attempt has ended before its answer was complete.
+    fn handle_broken_attempt(&mut self, current: RequestAttempt, result: AttemptResult, now: Millis) {
+        let RequestAttempt { request, attempt } = current;
+        let answer_has_begun = match self.exchanges.get_mut(&request) {
+            Some(exchange) => {
+                exchange.upstream = None;
+                exchange.answer_framing.is_some()
+            }
+            None => false,
+        };
+        if !answer_has_begun {
+            return self.service.attempt_ended(request, attempt, result, RequestState::Open, now);
+        }
+        // Its client has a part of the answer: its connection ends, and nothing is sent again.
+        if let Some(exchange) = self.exchanges.remove(&request) {
+            self.cut_off(exchange.downstream);
+        }
+        self.service.attempt_ended(request, attempt, result, RequestState::Answered, now);
+    }
+
+    /// An answer has broken off: its client sees that by the end of the connection.
+    pub(super) fn cut_off(&mut self, id: ConnectionId) {
+        if let Some(downstream) = self.downstream(id) {
+            downstream.request = None;
+        }
+        self.close(id);
+    }
+
+    /// A timer of a connection has come due; the deadline may have been moved meanwhile.
+    pub(super) fn handle_deadline(&mut self, id: ConnectionId, now: Millis) {
+        let Some(socket) = self.sockets.get_mut(id) else { return };
+        let deadline = socket.deadline;
+        match &socket.role {
+            Role::Downstream(downstream) if downstream.request.is_some() => {}
+            _ if deadline > now => self.timers.set(deadline, Timer::Connection(id)),
+            Role::Downstream(downstream) if downstream.reader.is_begun() && !downstream.is_last => {
+                self.reject_request(id, Wrong(408));
+            }
+            // It was idle for too long, or its client has not closed it. Or: no connection came up, nobody needed it,
+            // or a body stands still for as long as an answer may take.
+            Role::Downstream(_) | Role::Upstream(_) => self.handle_disconnect(id),
+        }
+    }
+}
--- /dev/null
+++ b/crates/node/src/direct/pool.rs
@@ -0,0 +1,394 @@
+//! One pool of workers that answer requests themselves: its dispatcher, its rotation, and what its workers have.
+
+use super::service::{Command, IncomingRequest, RequestId, RequestState, ServiceError};
+use crate::clock::{Millis, Timers};
+use postusher_decision::{
+    Action, AttemptId, AttemptOutcome, AttemptResult, Dispatcher, Endpoint, EndpointState, Event, Job, JobId,
+    ListUpdate, WorkerId,
+};
+use postusher_direct::{Keeper, Listing, Proposal};
+use postusher_settings::micros_from_millis;
+use postusher_setup::{Pool, State};
+use serde_json::{json, Map, Value};
+use settings::{is_idempotent, settings, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use worker::{Counters, Worker};
+
+mod settings;
+mod worker;
+
+pub(super) use worker::resolve;
+
+/// Requests that a worker may have at a time where the setup does not say.
+const DEFAULT_MAX_IN_FLIGHT: usize = 100;
+/// The advice where a session's worker takes no requests.
+const SESSION_RETRY_AFTER: Millis = 1_000.0;
+
+struct Attempt {
+    /// By index; none: it is no longer in the pool.
+    worker: Option<usize>,
+    sent_at: Millis,
+    is_pending: bool,
+}
+
+struct OpenRequest {
+    /// The worker, by index, that the keeper has proposed it for, where it names no session.
+    proposed: Option<usize>,
+    attempts: Vec<Attempt>,
+    is_answered: bool,
+}
+
+/// A pool at work.
+pub(super) struct PoolScheduler {
+    /// Its number, as in [`RequestId`].
+    index: usize,
+    setup: Pool,
+    dispatcher: Dispatcher,
+    keeper: Keeper,
+    workers: Vec<Worker>,
+    /// Ids of workers by name; they stay with the name when the setup is read again.
+    ids: HashMap<String, WorkerId>,
+    open: HashMap<JobId, OpenRequest>,
+    events: Vec<Event>,
+    timers: Timers<u64>,
+    /// Requests that may be over, looked at once the dispatcher has handled the events.
+    maybe_over: Vec<JobId>,
+}
+
+impl PoolScheduler {
+    /// A pool of which nothing was served yet.
+    ///
+    /// # Errors
+    /// A worker's address cannot be looked up.
+    pub(super) fn new(
+        index: usize,
+        setup: Pool,
+        seed: u64,
+        now: Millis,
+    ) -> Result<PoolScheduler, ServiceError> {
+        let addresses = resolve(&setup)?;
+        let mut pool = PoolScheduler {
+            index,
+            dispatcher: Dispatcher::new(settings(&setup), seed, micros_from_millis(now)),
+            keeper: Keeper::new(&setup),
+            setup,
+            workers: Vec::new(),
+            ids: HashMap::new(),
+            open: HashMap::new(),
+            events: Vec::new(),
+            timers: Timers::new(),
+            maybe_over: Vec::new(),
+        };
+        pool.set_workers(addresses, ListUpdate::Cached);
+        Ok(pool)
+    }
+
+    /// What the setup says of it.
+    pub(super) fn setup(&self) -> &Pool {
+        &self.setup
+    }
+
+    /// Takes over the same pool as it is in the setup now; workers that stay keep what is known of them.
+    pub(super) fn reload(&mut self, setup: Pool, addresses: Vec<SocketAddr>, now: Millis) {
+        let old_names: Vec<String> = self.workers.iter().map(|worker| worker.name.clone()).collect();
+        self.keeper.again(&setup, now);
+        self.setup = setup;
+        self.set_workers(addresses, ListUpdate::Complete);
+        // Open requests name workers by index.
+        let new_index = |name: &String| self.workers.iter().position(|worker| worker.name == *name);
+        let new_indexes: Vec<Option<usize>> = old_names.iter().map(new_index).collect();
+        let moved = |old: usize| new_indexes.get(old).copied().flatten();
+        for request in self.open.values_mut() {
+            request.proposed = request.proposed.and_then(moved);
+            for attempt in &mut request.attempts {
+                attempt.worker = attempt.worker.and_then(moved);
+            }
+        }
+    }
+
+    /// Sets up the workers that the setup has, and tells the dispatcher of all.
+    fn set_workers(&mut self, addresses: Vec<SocketAddr>, update: ListUpdate) {
+        let mut old = HashMap::new();
+        for worker in std::mem::take(&mut self.workers) {
+            old.insert(worker.name.clone(), worker);
+        }
+        for (setup, address) in self.setup.workers.iter().zip(addresses) {
+            let next_id = WorkerId(self.ids.len() as u32 + 1);
+            let id = *self.ids.entry(setup.id.clone()).or_insert(next_id);
+            let old = old.remove(&setup.id);
+            self.workers.push(Worker {
+                name: setup.id.clone(),
+                id,
+                address,
+                max_in_flight: setup.most.unwrap_or(DEFAULT_MAX_IN_FLIGHT),
+                in_flight: old.as_ref().map_or(0, |worker| worker.in_flight),
+                counters: old.as_ref().map_or(Counters::default(), |worker| worker.counters),
+                usual_time: old.and_then(|worker| worker.usual_time),
+            });
+        }
+        self.events.push(Event::EndpointList { update, endpoints: self.endpoints() });
+        for worker in &self.workers {
+            let report = vec![worker.free_slots()];
+            let result = AttemptResult::Success;
+            self.events.push(Event::HealthCheckEnded { worker: worker.id, result, report });
+        }
+    }
+
+    fn endpoints(&self) -> Vec<Endpoint> {
+        let listings = self.keeper.listings();
+        let mut endpoints = Vec::with_capacity(self.workers.len());
+        for (index, worker) in self.workers.iter().enumerate() {
+            let state = match listings.get(index) {
+                Some(Listing::Ready) => EndpointState::Ready,
+                Some(Listing::Reserved) => EndpointState::Reserved,
+                Some(Listing::Gone) | None => EndpointState::Removed,
+            };
+            // Each is a kind of its own: one that is slower than others is no outlier.
+            let kind = worker.id.0 as u16;
+            endpoints.push(Endpoint {
+                worker: worker.id,
+                state,
+                capacity_weight: 1.0,
+                started_at: 0,
+                cell: kind,
+                kind,
+                zone: 0,
+            });
+        }
+        endpoints
+    }
+
+    /// Where the rotation has changed, the dispatcher learns of it before anything else.
+    fn update_rotation(&mut self, now: Millis) {
+        if self.keeper.turn(now) {
+            let endpoints = self.endpoints();
+            self.events.insert(0, Event::EndpointList { update: ListUpdate::Changes, endpoints });
+        }
+    }
+
+    /// Takes in a request, or rejects it where its session's worker takes none.
+    pub(super) fn request_arrived(
+        &mut self,
+        job: JobId,
+        request: &IncomingRequest,
+        now: Millis,
+        commands: &mut Vec<Command>,
+    ) {
+        self.update_rotation(now);
+        let placement_override = match self.keeper.propose(request.session, now) {
+            Proposal::Prefer(index) => Some((index, false)),
+            Proposal::Only(index) => Some((index, true)),
+            Proposal::Any => None,
+            Proposal::Refuse => {
+                let request = RequestId { pool: self.index, job };
+                commands.push(Command::Reject { request, retry_after: SESSION_RETRY_AFTER });
+                return;
+            }
+        };
+        let mut proposed = None;
+        if let Some((index, required)) = placement_override {
+            if request.session.is_none() {
+                proposed = Some(index);
+            }
+            let worker = self.workers[index].id;
+            self.events.push(Event::PlacementOverride { job, worker, required });
+        }
+        self.open.insert(job, OpenRequest { proposed, attempts: Vec::new(), is_answered: false });
+        let is_idempotent = is_idempotent(self.setup.repeat, request.method) && request.is_replayable;
+        self.events.push(Event::JobArrived(Job {
+            id: job,
+            class: if is_idempotent { IDEMPOTENT_CLASS } else { NOT_IDEMPOTENT_CLASS },
+            deadline: micros_from_millis(now + self.setup.timeout),
+            size_hint: None,
+            slots: 1,
+            key: 0,
+            customer: 0,
+        }));
+    }
+
+    /// The answer has begun, and belongs to the client.
+    pub(super) fn answer_streaming(&mut self, job: JobId, attempt: AttemptId) {
+        self.events.push(Event::AnswerStreaming { job, attempt });
+    }
+
+    /// An attempt has ended; it may have ended already.
+    pub(super) fn attempt_ended(
+        &mut self,
+        job: JobId,
+        attempt_id: AttemptId,
+        result: AttemptResult,
+        state: RequestState,
+        now: Millis,
+    ) {
+        let Some(request) = self.open.get_mut(&job) else { return };
+        let Some(attempt) = request.attempts.get_mut(attempt_id.index()) else { return };
+        if !attempt.is_pending {
+            return;
+        }
+        attempt.is_pending = false;
+        request.is_answered |= state == RequestState::Answered;
+        let job_answered = request.is_answered;
+        self.maybe_over.push(job);
+        let time = now - attempt.sent_at;
+        let index = attempt.worker;
+        let mut latency = micros_from_millis(time);
+        let mut report = Vec::new();
+        if let Some(index) = index {
+            let relative_time = self.worker_ended(index, result, time, now);
+            latency = micros_from_millis(relative_time);
+            report.push(self.workers[index].free_slots());
+        }
+        self.update_rotation(now);
+        self.events.push(Event::AttemptEnded(AttemptOutcome {
+            job,
+            attempt: attempt_id,
+            result,
+            latency,
+            job_answered,
+            report,
+        }));
+    }
+
+    /// Counts the end of an attempt for its worker; gives the time that the dispatcher is told.
+    fn worker_ended(&mut self, index: usize, result: AttemptResult, time: Millis, now: Millis) -> Millis {
+        let worker = &mut self.workers[index];
+        worker.in_flight = worker.in_flight.saturating_sub(1);
+        let has_answer = matches!(result, AttemptResult::Success | AttemptResult::Error);
+        let relative_time = worker.relative_time(time, has_answer);
+        match result {
+            AttemptResult::Success | AttemptResult::Error => {
+                worker.counters.answered += 1;
+                self.keeper.answered(index);
+            }
+            AttemptResult::ConnectFailed | AttemptResult::Reset | AttemptResult::TimedOut => {
+                worker.counters.failed += 1;
+                self.keeper.failed(index, now);
+            }
+            _ => {}
+        }
+        relative_time
+    }
+
+    /// The client of a request has left.
+    pub(super) fn client_disconnected(&mut self, job: JobId) {
+        if self.mark_answered(job).is_some() {
+            self.events.push(Event::ClientDisconnected(job));
+        }
+    }
+
+    /// The request, if it had no answer until now.
+    fn mark_answered(&mut self, job: JobId) -> Option<&mut OpenRequest> {
+        let request = self.open.get_mut(&job).filter(|request| !request.is_answered)?;
+        request.is_answered = true;
+        self.maybe_over.push(job);
+        Some(request)
+    }
+
+    /// Lets timers expire, has the dispatcher handle all events, and adds its commands.
+    pub(super) fn decide(&mut self, now: Millis, commands: &mut Vec<Command>) {
+        while let Some(timer) = self.timers.due(now) {
+            self.events.push(Event::TimerExpired(timer));
+        }
+        self.update_rotation(now);
+        let mut actions = Vec::new();
+        self.dispatcher.handle_all(self.events.drain(..), micros_from_millis(now), &mut actions);
+        for action in actions {
+            self.run_action(action, now, commands);
+        }
+        self.forget_finished();
+    }
+
+    fn run_action(&mut self, action: Action, now: Millis, commands: &mut Vec<Command>) {
+        let pool = self.index;
+        match action {
+            Action::StartAttempt { job, worker, .. } => self.start_attempt(job, worker, now, commands),
+            Action::CancelAttempt { job, attempt } => {
+                commands.push(Command::CancelAttempt { request: RequestId { pool, job }, attempt });
+            }
+            Action::Reject { job, retry_after } => {
+                let Some(request) = self.mark_answered(job) else { return };
+                if let Some(proposed) = request.proposed.take() {
+                    self.keeper.undone(proposed);
+                }
+                let retry_after = retry_after as f64 / 1e3;
+                commands.push(Command::Reject { request: RequestId { pool, job }, retry_after });
+            }
+            Action::Fail { job } => {
+                if self.mark_answered(job).is_some() {
+                    commands.push(Command::Fail { request: RequestId { pool, job } });
+                }
+            }
+            Action::SetTimer { after, timer } => self.timers.set(now + after as f64 / 1e3, timer),
+            // Workers get nothing besides requests, and connections end by themselves.
+            Action::CheckHealth { .. } | Action::WatchEndpoints | Action::CloseIdleConnections { .. } => {}
+        }
+    }
+
+    fn start_attempt(&mut self, job: JobId, worker: WorkerId, now: Millis, commands: &mut Vec<Command>) {
+        let Some(index) = self.workers.iter().position(|candidate| candidate.id == worker) else { return };
+        let Some(request) = self.open.get_mut(&job) else { return };
+        let attempt = AttemptId(request.attempts.len() as u8);
+        request.attempts.push(Attempt { worker: Some(index), sent_at: now, is_pending: true });
+        if let Some(proposed) = request.proposed.take() {
+            if attempt == AttemptId(0) {
+                self.keeper.sent(proposed, index);
+            }
+        }
+        let chosen = &mut self.workers[index];
+        chosen.in_flight += 1;
+        chosen.counters.sent += 1;
+        commands.push(Command::StartAttempt {
+            request: RequestId { pool: self.index, job },
+            attempt,
+            worker,
+            address: chosen.address,
+        });
+    }
+
+    /// Forgets requests that have their answer and no attempt pending.
+    fn forget_finished(&mut self) {
+        for job in std::mem::take(&mut self.maybe_over) {
+            let Some(request) = self.open.get(&job) else { continue };
+            let has_pending = request.attempts.iter().any(|attempt| attempt.is_pending);
+            if request.is_answered && !has_pending {
+                self.open.remove(&job);
+            }
+        }
+    }
+
+    /// Whether the dispatcher has events to handle.
+    pub(super) fn has_events(&self) -> bool {
+        !self.events.is_empty()
+    }
+
+    /// When something is to be done by time alone.
+    pub(super) fn next_due(&self) -> Option<Millis> {
+        let timer = self.timers.next();
+        timer.into_iter().chain(self.keeper.next_due()).reduce(f64::min)
+    }
+
+    /// The metrics of the pool and its workers.
+    pub(super) fn stats(&self) -> Value {
+        let listings = self.keeper.listings();
+        let mut workers = Map::new();
+        for (index, worker) in self.workers.iter().enumerate() {
+            let state = match self.setup.workers[index].state {
+                State::Live => "live",
+                State::Draining => "draining",
+                State::Stopped => "stopped",
+            };
+            let stats = json!({
+                "state": state,
+                "listing": format!("{:?}", listings[index]).to_lowercase(),
+                "in_flight": worker.in_flight,
+                "sent": worker.counters.sent,
+                "answered": worker.counters.answered,
+                "failed": worker.counters.failed,
+                "avoided": self.dispatcher.avoids(worker.id),
+            });
+            workers.insert(worker.name.clone(), stats);
+        }
+        json!({"in_flight": self.open.len(), "workers": workers})
+    }
+}
--- /dev/null
+++ b/crates/node/src/direct/pool/settings.rs
@@ -0,0 +1,48 @@
+//! What the dispatcher of a pool goes by.
+
+use crate::clock::Millis;
+use postusher_decision::{Class, Idempotency, ReportField, Settings};
+use postusher_settings::micros_from_millis;
+use postusher_setup::{Pool, Repeat};
+
+/// Clients are told to come back after this time at most.
+const MAX_RETRY_AFTER: Millis = 30_000.0;
+/// For so long workers keep idle connections, as far as the dispatcher is concerned.
+const KEEP_ALIVE: Millis = 10_000.0;
+/// A request may wait for a worker for one in so many parts of its time, but for [`MIN_LATENCY_OBJECTIVE`] at least.
+const LATENCY_OBJECTIVE_DIVISOR: f64 = 10.0;
+const MIN_LATENCY_OBJECTIVE: Millis = 1_000.0;
+/// The class of requests that may be sent again after an attempt that may have run.
+pub(super) const IDEMPOTENT_CLASS: u16 = 0;
+/// The class of those that must not.
+pub(super) const NOT_IDEMPOTENT_CLASS: u16 = 1;
+
+/// The dispatcher's settings for a pool.
+pub(super) fn settings(pool: &Pool) -> Settings {
+    let objective = (pool.timeout / LATENCY_OBJECTIVE_DIVISOR).max(MIN_LATENCY_OBJECTIVE);
+    let objective = micros_from_millis(objective);
+    Settings {
+        // In the order of their numbers.
+        classes: vec![
+            Class::new(Idempotency::Idempotent, objective),
+            Class::new(Idempotency::NotIdempotent, objective),
+        ],
+        report_fields: vec![ReportField::FreeSlots],
+        cancellation_allowed: true,
+        sends_retry_after: true,
+        max_retry_after: micros_from_millis(MAX_RETRY_AFTER),
+        max_attempts: pool.attempts.min(255) as u8,
+        keepalive: micros_from_millis(KEEP_ALIVE),
+        ..Settings::default()
+    }
+}
+
+/// Whether requests of a method may be sent again after an attempt that may have run.
+pub(super) fn is_idempotent(repeat: Repeat, method: &str) -> bool {
+    let is_safe = matches!(method, "GET" | "HEAD" | "OPTIONS" | "TRACE");
+    match repeat {
+        Repeat::Safe => is_safe,
+        Repeat::Idempotent => is_safe || matches!(method, "PUT" | "DELETE"),
+        Repeat::Never => false,
+    }
+}
--- /dev/null
+++ b/crates/node/src/direct/response.rs
@@ -0,0 +1,28 @@
+//! Bytes of answers that this scheduler makes itself, and of bodies that pass through it.
+
+use crate::http;
+use postusher_direct::Framing;
+
+/// What an HTTP/1.1 client that asked for it is told before it sends the body.
+pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// An answer of this scheduler's own; `headers` are whole lines. Statuses that it has no use for become 400.
+pub(super) fn response(status: u16, headers: &str, body: &str, keep_alive: bool) -> Vec<u8> {
+    let status = match status {
+        200 | 404 | 408 | 431 | 501 | 502 | 503 | 504 => status,
+        _ => 400,
+    };
+    let reason = http::reason(status);
+    let connection = if keep_alive { "" } else { "Connection: close\r\n" };
+    let length = body.len();
+    format!("HTTP/1.1 {status} {reason}\r\n{headers}{connection}Content-Length: {length}\r\n\r\n{body}")
+        .into_bytes()
+}
+
+/// A part of a body, in the body's framing.
+pub(super) fn framed(framing: Framing, bytes: &[u8]) -> Vec<u8> {
+    match framing {
+        Framing::Chunked => [format!("{:x}\r\n", bytes.len()).as_bytes(), bytes, b"\r\n"].concat(),
+        Framing::None | Framing::Length(_) | Framing::Close => bytes.to_vec(),
+    }
+}
--- a/crates/node/src/event_loop/transfer.rs
+++ b/crates/node/src/event_loop/transfer.rs
@@ -116,8 +116,7 @@
     /// Writes what waits in a connection's outbox.
     pub(super) fn flush(&mut self, id: ConnectionId) {
         let now = self.clock.now();
-        loop {
-            let Some(socket) = self.socket(id).filter(|socket| !socket.is_connecting) else { break };
+        while let Some(socket) = self.socket(id).filter(|socket| !socket.is_connecting) {
             let outbox = socket.role.outbox();
             if outbox.unsent().is_empty() {
                 break;
--- a/crates/node/src/import.rs
+++ b/crates/node/src/import.rs
@@ -3,24 +3,25 @@
 use clap::{Args, Subcommand};
 use postusher_import::files::Disk;
 use postusher_import::{apache, mod_jk, Ajp};
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// A file could not be read, or is none of its kind; or the command line is wrong.
-const UNREADABLE: u8 = 2;
-/// Something was not carried.
-const LACKS: u8 = 3;
+/// Exit code: a file cannot be read, or is none of its kind; or the command line is wrong.
+const EXIT_UNREADABLE: u8 = 2;
+/// Exit code: some directives were not imported.
+const EXIT_INCOMPLETE: u8 = 3;
 
 /// What is imported.
 #[derive(Subcommand)]
-pub enum From {
+pub enum Source {
     /// Apache configurations with balancers, read in order as one.
     Apache {
         /// The files.
         #[arg(required = true, value_name = "FILE")]
         files: Vec<String>,
         #[command(flatten)]
-        to: To,
+        output: Output,
     },
     /// A worker file of mod_jk.
     #[command(name = "mod_jk")]
@@ -32,13 +33,13 @@
         #[arg(long, value_name = "uriworkermap.properties")]
         map: Option<String>,
         #[command(flatten)]
-        to: To,
+        output: Output,
     },
 }
 
 /// Where the setup goes, and what is said of AJP.
 #[derive(Args)]
-pub struct To {
+pub struct Output {
     /// The setup; else it goes to standard output.
     #[arg(short, long, value_name = "FILE")]
     out: Option<PathBuf>,
@@ -53,54 +54,94 @@
     ajp_port_map: Vec<String>,
 }
 
-/// Runs an import; says by the exit code how it went.
-pub fn run(from: From) -> ExitCode {
-    match import(from) {
-        Ok(lacks) => ExitCode::from(if lacks { LACKS } else { 0 }),
+/// Why nothing was imported.
+#[derive(Debug, thiserror::Error)]
+enum ImportError {
+    /// An option for AJP cannot be read.
+    #[error("{0}")]
+    AjpOption(String),
+    /// A file cannot be read, or is none of its kind.
+    #[error("{0}")]
+    Source(String),
+    /// The account cannot be written as JSON.
+    #[error(transparent)]
+    Account(#[from] serde_json::Error),
+    /// A file cannot be written.
+    #[error("{}: {source}", .path.display())]
+    Write {
+        /// The file.
+        path: PathBuf,
+        /// The system's reason.
+        source: io::Error,
+    },
+}
+
+/// How much was imported.
+enum Outcome {
+    /// Each directive.
+    Complete,
+    /// Some directives were not.
+    Incomplete,
+}
+
+/// Runs an import; the exit code says how it went.
+pub fn run(source: Source) -> ExitCode {
+    match import(source) {
+        Ok(Outcome::Complete) => ExitCode::SUCCESS,
+        Ok(Outcome::Incomplete) => ExitCode::from(EXIT_INCOMPLETE),
         Err(e) => {
             eprintln!("postusher: {e}");
-            ExitCode::from(UNREADABLE)
+            ExitCode::from(EXIT_UNREADABLE)
         }
     }
 }
 
-/// Says whether something was not carried.
-fn import(from: From) -> Result<bool, String> {
-    let (to, imported) = match from {
-        From::Apache { files, to } => {
-            let imported = apache::import(&files, &Disk, &to.ajp()?);
-            (to, imported)
-        }
-        From::ModJk { workers, map, to } => {
-            let imported = mod_jk::import(&workers, map.as_deref(), &Disk, &to.ajp()?);
-            (to, imported)
-        }
+fn import(source: Source) -> Result<Outcome, ImportError> {
+    let output = source.output();
+    let ajp = output.ajp()?;
+    let imported = match &source {
+        Source::Apache { files, .. } => apache::import(files, &Disk, &ajp),
+        Source::ModJk { workers, map, .. } => mod_jk::import(workers, map.as_deref(), &Disk, &ajp),
     };
-    let imported = imported.map_err(|e| e.to_string())?;
+    let imported = imported.map_err(|e| ImportError::Source(e.to_string()))?;
     let setup = imported.setup();
-    match &to.out {
+    match &output.out {
         Some(path) => write(path, setup.as_bytes())?,
         None => print!("{setup}"),
     }
-    match &to.report {
-        Some(path) => {
-            let json = serde_json::to_vec_pretty(&imported.account).map_err(|e| e.to_string())?;
-            write(path, &json)?;
-        }
+    match &output.report {
+        Some(path) => write(path, &serde_json::to_vec_pretty(&imported.account)?)?,
         None => eprint!("{}", imported.account),
     }
-    Ok(imported.account.lacks())
+    if imported.account.lacks() {
+        Ok(Outcome::Incomplete)
+    } else {
+        Ok(Outcome::Complete)
+    }
 }
 
-fn write(path: &Path, bytes: &[u8]) -> Result<(), String> {
-    std::fs::write(path, bytes).map_err(|e| format!("{}: {e}", path.display()))
+fn write(path: &Path, bytes: &[u8]) -> Result<(), ImportError> {
+    std::fs::write(path, bytes).map_err(|source| ImportError::Write { path: path.to_path_buf(), source })
 }
 
-impl To {
-    fn ajp(&self) -> Result<Ajp, String> {
+impl Source {
+    fn output(&self) -> &Output {
+        match self {
+            Source::Apache { output, .. } | Source::ModJk { output, .. } => output,
+        }
+    }
+}
+
+impl Output {
+    /// Where workers that are named by AJP addresses speak HTTP.
+    fn ajp(&self) -> Result<Ajp, ImportError> {
         let mut ajp = Ajp::default();
-        self.ajp_as_http.iter().try_for_each(|text| ajp.address(text))?;
-        self.ajp_port_map.iter().try_for_each(|text| ajp.port(text))?;
+        for text in &self.ajp_as_http {
+            ajp.address(text).map_err(|e| ImportError::AjpOption(e.to_string()))?;
+        }
+        for text in &self.ajp_port_map {
+            ajp.port(text).map_err(|e| ImportError::AjpOption(e.to_string()))?;
+        }
         Ok(ajp)
     }
 }
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,5 +1,5 @@
-//! postusher on real sockets: takes clients' jobs over HTTP, lets the decision module say where each goes, and
-//! brings back what becomes of it.
+//! postusher on real sockets: accepts clients' jobs over HTTP, has the decision module choose a worker for each, and
+//! answers the clients.
 #![forbid(unsafe_code)]
 
 mod admin;
@@ -35,10 +35,10 @@
 use clock::Clock;
 use config::Config;
 use event_loop::EventLoop;
-use postusher_setup::Setup;
 use reload::Reload;
+use std::io;
 use std::net::SocketAddr;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// A scheduler that spreads jobs over workers by tokens in release order.
@@ -62,7 +62,7 @@
     /// Turn files of Apache or mod_jk into a setup, with an account of what was carried. Exits with 3 where something
     /// was not, with 2 where a file cannot be read.
     #[command(subcommand)]
-    Import(import::From),
+    Import(import::Source),
     /// Read a configuration and say what is wrong with it, if anything.
     CheckConfig(ConfigArg),
     /// Print the version.
@@ -89,44 +89,90 @@
     setup: Option<PathBuf>,
 }
 
-fn run(command: Command) -> Result<ExitCode, String> {
+/// Why a command fails.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// The command line names neither a configuration nor a setup.
+    #[error("say --config FILE, or --setup FILE with pools in it")]
+    NothingToServe,
+    /// The signals cannot be registered.
+    #[error("signals: {0}")]
+    Signals(io::Error),
+    /// The configuration, or the setup beside it, cannot be read, or has mistakes.
+    #[error("{0}")]
+    Configuration(String),
+    /// The setup cannot be read, or has mistakes.
+    #[error("{0}")]
+    Setup(String),
+    /// The scheduler cannot start or go on.
+    #[error("{name}: {source}")]
+    Scheduler {
+        /// Its name.
+        name: String,
+        /// The reason.
+        source: io::Error,
+    },
+    /// A scheduler that stands alone cannot start or go on.
+    #[error(transparent)]
+    Direct(#[from] direct::ServeError),
+}
+
+fn run(command: Command) -> Result<ExitCode, CommandError> {
     match command {
-        Command::Serve(arg) => {
-            let (path, setup) = match (arg.config, arg.setup) {
-                (Some(path), setup) => (path, setup),
-                (None, Some(setup)) => {
-                    return direct::serve(setup, arg.listen).map(|()| ExitCode::SUCCESS);
-                }
-                (None, None) => return Err("say --config FILE, or --setup FILE with pools in it".into()),
-            };
-            let signals = EventLoop::signals().map_err(|e| format!("signals: {e}"))?;
-            let config = Config::load(&path, setup.as_deref())?;
-            let (name, reload) = (config.name.clone(), Reload::new(path, setup, &config));
-            let serving = EventLoop::new(config, reload, signals, Clock::system()).and_then(|mut l| l.run());
-            serving.map_err(|e| format!("{name}: {e}"))?;
-        }
-        Command::Check { setup } => {
-            let Setup { waiting, pools, members, .. } = postusher_setup::load(&setup)?;
-            let jobs = waiting.map_or("nothing waits".to_string(), |w| format!("up to {} jobs wait", w.jobs));
-            let workers: usize = pools.iter().map(|p| p.workers.len()).sum();
-            let member = members
-                .map_or(String::new(), |m| format!(", member {} of {}", m.config.name, m.config.cluster));
-            let (path, pools) = (setup.display(), pools.len());
-            println!("{path}: good; {jobs}, {pools} pools with {workers} workers{member}");
-        }
-        Command::CheckConfig(arg) => {
-            let config = Config::load(&arg.config, None)?;
-            let (classes, workers) = (config.site.classes.len(), config.known.entries.len());
-            println!("{}: good; {classes} classes, {workers} workers known", arg.config.display());
-        }
-        Command::Import(from) => return Ok(import::run(from)),
-        Command::Version => {
-            println!("postusher {}", env!("CARGO_PKG_VERSION"));
-        }
+        Command::Serve(args) => serve(args)?,
+        Command::Check { setup } => check_setup(&setup)?,
+        Command::CheckConfig(args) => check_config(&args.config)?,
+        Command::Import(source) => return Ok(import::run(source)),
+        Command::Version => println!("postusher {}", env!("CARGO_PKG_VERSION")),
     }
     Ok(ExitCode::SUCCESS)
 }
 
+/// Runs a scheduler of the platform's protocol, or one that stands alone where there is no configuration.
+fn serve(args: ServeArgs) -> Result<(), CommandError> {
+    let Some(path) = args.config else {
+        let setup = args.setup.ok_or(CommandError::NothingToServe)?;
+        return Ok(direct::serve(setup, args.listen)?);
+    };
+    let signals = EventLoop::signals().map_err(CommandError::Signals)?;
+    let config = load_config(&path, args.setup.as_deref())?;
+    let name = config.name.clone();
+    let reload = Reload::new(path, args.setup, &config);
+    EventLoop::new(config, reload, signals, Clock::system())
+        .and_then(|mut event_loop| event_loop.run())
+        .map_err(|source| CommandError::Scheduler { name, source })
+}
+
+fn load_config(path: &Path, setup: Option<&Path>) -> Result<Config, CommandError> {
+    Config::load(path, setup).map_err(|e| CommandError::Configuration(e.to_string()))
+}
+
+/// Reads a setup and prints what it has.
+fn check_setup(path: &Path) -> Result<(), CommandError> {
+    let setup = postusher_setup::load(path).map_err(|e| CommandError::Setup(e.to_string()))?;
+    let waiting = match setup.waiting {
+        Some(limits) => format!("up to {} jobs wait", limits.jobs),
+        None => "nothing waits".to_string(),
+    };
+    let workers: usize = setup.pools.iter().map(|pool| pool.workers.len()).sum();
+    let member = match setup.members {
+        Some(members) => format!(", member {} of {}", members.config.name, members.config.cluster),
+        None => String::new(),
+    };
+    let pools = setup.pools.len();
+    println!("{}: good; {waiting}, {pools} pools with {workers} workers{member}", path.display());
+    Ok(())
+}
+
+/// Reads a configuration and prints what it has.
+fn check_config(path: &Path) -> Result<(), CommandError> {
+    let config = load_config(path, None)?;
+    let classes = config.site.classes.len();
+    let workers = config.known.entries.len();
+    println!("{}: good; {classes} classes, {workers} workers known", path.display());
+    Ok(())
+}
+
 fn main() -> ExitCode {
     let command = Cli::parse().command;
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
