--- a/crates/node/src/direct/event_loop.rs
+++ b/crates/node/src/direct/event_loop.rs
@@ -274,7 +274,9 @@
         let now = self.clock.now();
         let setup = match load(&self.setup_path, Some(self.listen)) {
             Ok((setup, _)) => setup,
-            Err(e) => return log::error!("setup reload failed, the setup stays as it was: signal=SIGHUP error={e}"),
+            Err(e) => {
+                return log::error!("setup reload failed, the setup stays as it was: signal=SIGHUP error={e}")
+            }
         };
         match self.service.reload(setup.pools, now) {
             Ok(()) => log::info!("setup reloaded: signal=SIGHUP"),
--- a/crates/node/src/direct/pool.rs
+++ b/crates/node/src/direct/pool.rs
@@ -250,7 +250,7 @@
         }));
     }
 
-    /// Counts the end of an attempt for its worker; gives the time that the dispatcher is told.
+    /// Counts the end of an attempt for its worker; gives the time for the dispatcher.
     fn worker_ended(&mut self, index: usize, result: AttemptResult, time: Millis, now: Millis) -> Millis {
         let worker = &mut self.workers[index];
         worker.in_flight = worker.in_flight.saturating_sub(1);
--- a/crates/node/src/direct/pool/settings.rs
+++ b/crates/node/src/direct/pool/settings.rs
@@ -5,7 +5,7 @@
 use postusher_settings::micros_from_millis;
 use postusher_setup::{Pool, Repeat};
 
-/// Clients are told to come back after this time at most.
+/// The longest advice to a rejected client.
 const MAX_RETRY_AFTER: Millis = 30_000.0;
 /// For so long workers keep idle connections, as far as the dispatcher is concerned.
 const KEEP_ALIVE: Millis = 10_000.0;
--- a/crates/node/src/direct/pool/worker.rs
+++ b/crates/node/src/direct/pool/worker.rs
@@ -10,7 +10,7 @@
 const USUAL_TIME_WEIGHT: f64 = 0.02;
 /// Differences between times well below this are noise.
 const NOISE: Millis = 20.0;
-/// What the dispatcher is told of an answer that took the usual time.
+/// The time that the dispatcher is given of an answer that took the usual time.
 const REFERENCE_TIME: Millis = 100.0;
 
 /// Attempts at a worker since the start.
@@ -36,7 +36,7 @@
 }
 
 impl Worker {
-    /// What the dispatcher is told of a time: how it compares with what is usual for this worker. Workers of a pool may
+    /// The time that the dispatcher is given: how one compares with what is usual for this worker. Workers of a pool may
     /// be of any speed, and their shares are set: only one that is slow against itself is an outlier. `is_usual`: the
     /// time counts for what is usual.
     pub(super) fn relative_time(&mut self, time: Millis, is_usual: bool) -> Millis {
@@ -47,7 +47,7 @@
         REFERENCE_TIME * (time + NOISE) / (usual + NOISE)
     }
 
-    /// What the dispatcher is told of its room; workers of a pool report nothing themselves.
+    /// Its room, as the dispatcher is given it; workers of a pool report nothing themselves.
     pub(super) fn free_slots(&self) -> f64 {
         self.max_in_flight.saturating_sub(self.in_flight) as f64
     }
--- a/crates/node/src/direct/response.rs
+++ b/crates/node/src/direct/response.rs
@@ -3,7 +3,7 @@
 use crate::http;
 use postusher_direct::Framing;
 
-/// What an HTTP/1.1 client that asked for it is told before it sends the body.
+/// The interim answer to a client that asked for one before it sends the body.
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// An answer of this scheduler's own; `headers` are whole lines. Statuses that it has no use for become 400.
--- a/crates/node/src/event_loop/accept.rs
+++ b/crates/node/src/event_loop/accept.rs
@@ -11,7 +11,7 @@
 /// After a failed accept, or with no descriptor left, the listener rests so long.
 const ACCEPT_BACKOFF: Millis = 20.0;
 
-/// When to accept without being told that connections are waiting.
+/// When to accept without a report that connections are waiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum AcceptSchedule {
     /// Only once the listener is reported ready.
--- a/crates/node/src/event_loop/upgrade.rs
+++ b/crates/node/src/event_loop/upgrade.rs
@@ -28,7 +28,7 @@
 }
 
 impl Peer {
-    /// Whether all that it is told was sent.
+    /// Whether all messages to it were sent.
     pub(super) fn is_flushed(&self) -> bool {
         self.link.outbox.unsent().is_empty()
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether the other process, if there is one, was sent all that it is told.
+    /// Whether all messages to the other process, if there is one, were sent.
     pub(super) fn is_flushed(&self) -> bool {
         self.peer.as_ref().is_none_or(Peer::is_flushed)
     }
--- a/crates/node/src/http/tests.rs
+++ b/crates/node/src/http/tests.rs
@@ -1,3 +1,4 @@
+use super::message::MAX_HEADERS;
 use super::*;
 
 fn read(text: &str) -> Result<Option<Message<RequestLine>>, Fault> {
--- a/crates/node/src/http/write.rs
+++ b/crates/node/src/http/write.rs
@@ -1,9 +1,9 @@
-//! Messages as bytes, and bytes that wait to be written.
+//! Bytes of messages, and bytes that wait to be written.
 
 use super::{RequestLine, KEPT_ROOM};
 use std::fmt::Write;
 
-/// The usual words for a status.
+/// The reason phrase of a status.
 pub fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -24,18 +24,24 @@
     }
 }
 
-/// An answer's bytes.
+/// The bytes of an answer.
 pub fn response(status: u16, headers: &[(&str, String)], body: &[u8], keep_alive: bool) -> Vec<u8> {
     let mut text = format!("HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in headers {
+        // Writing to a string does not fail.
         let _ = write!(text, "{name}: {value}\r\n");
     }
     let _ = write!(text, "Content-Length: {}\r\n", body.len());
-    text.push_str(if keep_alive { "\r\n" } else { "Connection: close\r\n\r\n" });
-    [text.as_bytes(), body].concat()
+    if !keep_alive {
+        text.push_str("Connection: close\r\n");
+    }
+    text.push_str("\r\n");
+    let mut bytes = text.into_bytes();
+    bytes.extend_from_slice(body);
+    bytes
 }
 
-/// A request's bytes; headers are written as they came.
+/// The bytes of a request; header values are written as they came.
 pub fn request(line: &RequestLine, headers: &[(&str, &[u8])], body: &[u8]) -> Vec<u8> {
     let mut bytes = format!("{} {} HTTP/1.1\r\n", line.method, line.target).into_bytes();
     for (name, value) in headers {
@@ -44,13 +50,16 @@
     if !body.is_empty() || line.method != "GET" {
         bytes.extend(format!("Content-Length: {}\r\n", body.len()).into_bytes());
     }
-    [&bytes, &b"\r\n"[..], body].concat()
+    bytes.extend_from_slice(b"\r\n");
+    bytes.extend_from_slice(body);
+    bytes
 }
 
-/// Bytes that wait to be written.
+/// Bytes that wait to be written on a connection.
 #[derive(Default)]
 pub struct Outbox {
     bytes: Vec<u8>,
+    /// So many of them were written.
     sent: usize,
 }
 
@@ -65,9 +74,9 @@
         &self.bytes[self.sent..]
     }
 
-    /// So much of it was written.
-    pub fn sent(&mut self, n: usize) {
-        self.sent += n;
+    /// So many bytes of it were written.
+    pub fn sent(&mut self, length: usize) {
+        self.sent += length;
         if self.sent >= self.bytes.len() {
             self.clear();
             self.bytes.shrink_to(KEPT_ROOM);
