--- a/crates/decision/tests/class_rules.rs
+++ b/crates/decision/tests/class_rules.rs
@@ -173,28 +173,3 @@
     assert!(owed, "the turn did not come in time");
     assert!(host.submit_with_key(99, 0, 1, 5).is_none(), "the first is not over yet");
 }
-
-#[test]
-fn moved_discovery_is_called_at_once_and_without_backoff() {
-    let mut host = TestHost::new(Settings { list_is_polled: true, ..settings() }, 2);
-    let failed = |host: &mut TestHost| {
-        host.actions.clear();
-        host.update_list(ListUpdate::Failed, Vec::new());
-        host.actions.iter().find_map(|a| match a {
-            Action::SetTimer { after, .. } => Some(*after),
-            _ => None,
-        })
-    };
-    for _ in 0..8 {
-        failed(&mut host);
-    }
-    assert!(failed(&mut host).unwrap() > SECOND);
-    host.actions.clear();
-    host.handle(Event::DiscoveryMoved);
-    assert_eq!(host.actions, vec![Action::WatchEndpoints]);
-    for _ in 0..8 {
-        assert!(failed(&mut host).unwrap() < 400 * MILLISECOND);
-    }
-    host.now += 4 * SECOND;
-    assert!(failed(&mut host).unwrap() > SECOND);
-}
--- a/crates/decision/tests/endpoint_list.rs
+++ b/crates/decision/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Whether jobs may be placed by the endpoint list, and what becomes of those that may not.
+//! Whether jobs may be placed by the endpoint list, what becomes of those that may not, and calls to discovery.
 
 mod common;
 use common::*;
@@ -119,3 +119,95 @@
         Some(SendDenial::WorkerMoved)
     );
 }
+
+#[test]
+fn failed_list_calls_are_retried_with_backoff() {
+    let mut host = TestHost::new(Settings { list_is_polled: true, ..settings() }, 1);
+    let mut waits = Vec::new();
+    for _ in 0..5 {
+        host.actions.clear();
+        host.update_list(ListUpdate::Failed, Vec::new());
+        let [Action::SetTimer { after, timer }] = host.actions[..] else { panic!("{:?}", host.actions) };
+        waits.push(after);
+        host.actions.clear();
+        host.handle(Event::TimerExpired(timer));
+        assert_eq!(host.actions, vec![Action::WatchEndpoints]);
+    }
+    assert!(waits[4] > waits[0] && waits[4] < 5 * SECOND, "{waits:?}");
+}
+
+#[test]
+fn list_call_backoff_is_bounded_for_any_poll_interval() {
+    // The poll interval may be a minute, which is too long a backoff.
+    for poll_interval in [10 * SECOND, 60 * SECOND, 600 * SECOND] {
+        let mut host = TestHost::new(Settings { list_is_polled: true, poll_interval, ..settings() }, 3);
+        for _ in 0..40 {
+            host.actions.clear();
+            host.update_list(ListUpdate::Failed, Vec::new());
+            let [Action::SetTimer { after, .. }] = host.actions[..] else { panic!("{:?}", host.actions) };
+            assert!(after <= 3 * SECOND, "{after}");
+        }
+    }
+}
+
+#[test]
+fn pushed_list_call_is_retried_within_half_the_drain_grace() {
+    // What the agent has counts as notified whether or not it was read, so the backoff must not outlast the grace.
+    for drain_grace in [250 * MILLISECOND, 750 * MILLISECOND] {
+        let mut host = TestHost::new(Settings { list_is_polled: false, drain_grace, ..settings() }, 1);
+        for _ in 0..20 {
+            host.actions.clear();
+            host.update_list(ListUpdate::Failed, Vec::new());
+            let [Action::SetTimer { after, .. }] = host.actions[..] else { panic!("{:?}", host.actions) };
+            assert!(after < drain_grace / 2, "{after} of {drain_grace}");
+        }
+    }
+}
+
+#[test]
+fn moved_discovery_is_called_at_once_and_without_backoff() {
+    let mut host = TestHost::new(Settings { list_is_polled: true, ..settings() }, 2);
+    let failed = |host: &mut TestHost| {
+        host.actions.clear();
+        host.update_list(ListUpdate::Failed, Vec::new());
+        host.actions.iter().find_map(|a| match a {
+            Action::SetTimer { after, .. } => Some(*after),
+            _ => None,
+        })
+    };
+    for _ in 0..8 {
+        failed(&mut host);
+    }
+    assert!(failed(&mut host).unwrap() > SECOND);
+    host.actions.clear();
+    host.handle(Event::DiscoveryMoved);
+    assert_eq!(host.actions, vec![Action::WatchEndpoints]);
+    for _ in 0..8 {
+        assert!(failed(&mut host).unwrap() < 400 * MILLISECOND);
+    }
+    host.now += 4 * SECOND;
+    assert!(failed(&mut host).unwrap() > SECOND);
+}
+
+#[test]
+fn first_list_calls_of_many_dispatchers_are_spread() {
+    // Hundreds that restart together must not call a rationed service at the same moment.
+    let wait = |seed| {
+        let settings = Settings { list_is_polled: true, ..settings_at_scale() };
+        let mut host = TestHost::with_seed(settings, seed, SECOND);
+        host.update_list(ListUpdate::Cached, vec![endpoint(1)]);
+        assert!(!host.actions.contains(&Action::WatchEndpoints));
+        let after = host.actions.iter().find_map(|a| match a {
+            Action::SetTimer { after, timer } if *timer == REQUEST_LIST => Some(*after),
+            _ => None,
+        });
+        host.actions.clear();
+        host.handle(Event::TimerExpired(REQUEST_LIST));
+        assert_eq!(host.actions, vec![Action::WatchEndpoints]);
+        after.expect("a timer for the list")
+    };
+    let mut waits: Vec<Micros> = (0..300).map(wait).collect();
+    waits.sort_unstable();
+    assert!(waits[299] < 3 * SECOND, "well inside the allowed time: {}", waits[299]);
+    assert!(waits[200] - waits[100] > 300 * MILLISECOND, "spread out");
+}
--- a/crates/decision/tests/large_fleet.rs
+++ b/crates/decision/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! One of many dispatchers with many workers: load reports, release order, costs, calls to discovery.
+//! One of many dispatchers with many workers: load reports, release order and costs.
 
 mod common;
 use common::*;
@@ -91,29 +91,6 @@
     }
 }
 
-#[test]
-fn first_list_calls_of_many_dispatchers_are_spread() {
-    // Hundreds that restart together must not call a rationed service at the same moment.
-    let wait = |seed| {
-        let settings = Settings { list_is_polled: true, ..settings_at_scale() };
-        let mut host = TestHost::with_seed(settings, seed, SECOND);
-        host.update_list(ListUpdate::Cached, vec![endpoint(1)]);
-        assert!(!host.actions.contains(&Action::WatchEndpoints));
-        let after = host.actions.iter().find_map(|a| match a {
-            Action::SetTimer { after, timer } if *timer == REQUEST_LIST => Some(*after),
-            _ => None,
-        });
-        host.actions.clear();
-        host.handle(Event::TimerExpired(REQUEST_LIST));
-        assert_eq!(host.actions, vec![Action::WatchEndpoints]);
-        after.expect("a timer for the list")
-    };
-    let mut waits: Vec<Micros> = (0..300).map(wait).collect();
-    waits.sort_unstable();
-    assert!(waits[299] < 3 * SECOND, "well inside the allowed time: {}", waits[299]);
-    assert!(waits[200] - waits[100] > 300 * MILLISECOND, "spread out");
-}
-
 #[test]
 fn new_worker_gets_jobs_before_all_old_tokens_are_used() {
     // Behind hundreds of tokens a new worker would wait for minutes.
--- a/crates/decision/tests/outlier_detection.rs
+++ b/crates/decision/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Outlier detection, half-open workers, circuit breakers, and calls to discovery that fail.
+//! Outlier detection, half-open workers and circuit breakers; attempts that do not start.
 
 mod common;
 use common::*;
@@ -124,50 +124,6 @@
     assert!(host.worker_of(1).is_none() && free == 1 && host.dispatcher.free_capacity().free == 0);
 }
 
-#[test]
-fn failed_list_calls_are_retried_with_backoff() {
-    let mut host = TestHost::new(Settings { list_is_polled: true, ..settings() }, 1);
-    let mut waits = Vec::new();
-    for _ in 0..5 {
-        host.actions.clear();
-        host.update_list(ListUpdate::Failed, Vec::new());
-        let [Action::SetTimer { after, timer }] = host.actions[..] else { panic!("{:?}", host.actions) };
-        waits.push(after);
-        host.actions.clear();
-        host.handle(Event::TimerExpired(timer));
-        assert_eq!(host.actions, vec![Action::WatchEndpoints]);
-    }
-    assert!(waits[4] > waits[0] && waits[4] < 5 * SECOND, "{waits:?}");
-}
-
-#[test]
-fn list_call_backoff_is_bounded_for_any_poll_interval() {
-    // The poll interval may be a minute, which is too long a backoff.
-    for poll_interval in [10 * SECOND, 60 * SECOND, 600 * SECOND] {
-        let mut host = TestHost::new(Settings { list_is_polled: true, poll_interval, ..settings() }, 3);
-        for _ in 0..40 {
-            host.actions.clear();
-            host.update_list(ListUpdate::Failed, Vec::new());
-            let [Action::SetTimer { after, .. }] = host.actions[..] else { panic!("{:?}", host.actions) };
-            assert!(after <= 3 * SECOND, "{after}");
-        }
-    }
-}
-
-#[test]
-fn pushed_list_call_is_retried_within_half_the_drain_grace() {
-    // What the agent has counts as notified whether or not it was read, so the backoff must not outlast the grace.
-    for drain_grace in [250 * MILLISECOND, 750 * MILLISECOND] {
-        let mut host = TestHost::new(Settings { list_is_polled: false, drain_grace, ..settings() }, 1);
-        for _ in 0..20 {
-            host.actions.clear();
-            host.update_list(ListUpdate::Failed, Vec::new());
-            let [Action::SetTimer { after, .. }] = host.actions[..] else { panic!("{:?}", host.actions) };
-            assert!(after < drain_grace / 2, "{after} of {drain_grace}");
-        }
-    }
-}
-
 #[test]
 fn failed_half_open_worker_does_not_recover_when_the_whole_fleet_fails() {
     // With a high median a worker could leave the half-open state by failing fast.
