--- a/crates/decision/src/policy/capacity.rs
+++ b/crates/decision/src/policy/capacity.rs
@@ -65,14 +65,13 @@
     }
 
     /// Mean number of jobs that wait at a worker, where reports do not tell: from the queueing delay
-    /// (Little's law).
+    /// (Little's law). 0 where they do; not a number while the mean running time is 0.
     pub(super) fn estimated_queue_length(&self) -> f64 {
-        if !self.features.infers_queue_from_starts {
-            return 0.0;
-        }
+        let applies = f64::from(self.features.infers_queue_from_starts);
         let delay = self.queueing.delay_us();
-        delay * self.slots.mean_per_worker().value_or(1.0)
-            / self.durations.fleet_mean().value_or(delay.max(1.0))
+        let mean_slots = self.slots.mean_per_worker().value_or(1.0);
+        let running_time = self.durations.fleet_mean().value_or(delay.max(1.0));
+        applies * delay * mean_slots / running_time
     }
 
     /// Whether a worker reported so lately that most of what ran there still does.
--- a/crates/decision/src/policy/placement.rs
+++ b/crates/decision/src/policy/placement.rs
@@ -172,7 +172,7 @@
         if missing_slots > 0 && (in_slow_start || worker.health.is_half_open()) {
             return false;
         }
-        if in_slow_start && !self.slow_start_allows(job, worker) {
+        if in_slow_start && self.slow_start_denies(job, worker) {
             return false;
         }
         self.queue_slots(job, worker, missing_slots, max_queue_slots) <= max_queue_slots
--- a/crates/decision/src/policy/slow_start.rs
+++ b/crates/decision/src/policy/slow_start.rs
@@ -49,9 +49,10 @@
         worker.slow_start.at(self.now, allowance)
     }
 
-    /// Whether a worker in slow start can take a job at all, and its budget allows another one now.
-    pub(super) fn slow_start_allows(&self, job: &PendingJob, worker: &Worker) -> bool {
-        self.slow_start_budget(worker).balance() >= self.durations.mean_running_time()
-            && self.durations.work(job) <= self.shared_allowance(worker)
+    /// Whether the budget of a worker in slow start denies a job: it is spent, or the job is more than the
+    /// worker can take in a window.
+    pub(super) fn slow_start_denies(&self, job: &PendingJob, worker: &Worker) -> bool {
+        self.slow_start_budget(worker).balance() < self.durations.mean_running_time()
+            || self.durations.work(job) > self.shared_allowance(worker)
     }
 }
