--- a/crates/node/src/direct/event_loop.rs
+++ b/crates/node/src/direct/event_loop.rs
@@ -273,7 +273,7 @@
     fn reload_setup(&mut self) {
         let now = self.clock.now();
         let setup = match load(&self.setup_path, Some(self.listen)) {
-            Ok((setup, _)) => setup,
+            Ok(standalone) => standalone.setup,
             Err(e) => {
                 return log::error!("setup reload failed, the setup stays as it was: signal=SIGHUP error={e}")
             }
--- a/crates/node/src/direct/mod.rs
+++ b/crates/node/src/direct/mod.rs
@@ -69,7 +69,7 @@
 /// Why it cannot start or go on, in one line or in one for each mistake.
 pub fn serve(path: PathBuf, listen: Option<SocketAddr>) -> Result<(), ServeError> {
     let signals = PlatformEventLoop::signals().map_err(ServeError::Signals)?;
-    let (setup, listen) = load(&path, listen)?;
+    let StandaloneSetup { setup, listen } = load(&path, listen)?;
     let name = setup.name.clone().unwrap_or_else(|| "postusher".into());
     let descriptors = setup.sockets.unwrap_or(DEFAULT_DESCRIPTORS);
     event_loop::EventLoop::new(setup, path, listen, descriptors, signals, Clock::system())
@@ -77,8 +77,15 @@
         .map_err(|source| ServeError::EventLoop { name, source })
 }
 
-/// Reads a setup that stands alone, and says where to listen.
-fn load(path: &Path, listen: Option<SocketAddr>) -> Result<(Setup, SocketAddr), ServeError> {
+/// A setup that needs no configuration beside it.
+struct StandaloneSetup {
+    setup: Setup,
+    /// Where clients connect.
+    listen: SocketAddr,
+}
+
+/// Reads a setup that stands alone; an address of the command line goes before its own.
+fn load(path: &Path, listen: Option<SocketAddr>) -> Result<StandaloneSetup, ServeError> {
     let setup = postusher_setup::load(path).map_err(|e| ServeError::Setup(e.to_string()))?;
     let path = path.to_path_buf();
     if setup.pools.is_empty() {
@@ -94,7 +101,7 @@
         return Err(ServeError::TooFewDescriptors { path, descriptors });
     }
     match listen.or(setup.listen) {
-        Some(listen) => Ok((setup, listen)),
+        Some(listen) => Ok(StandaloneSetup { setup, listen }),
         None => Err(ServeError::NoAddress(path)),
     }
 }
--- a/crates/node/src/event_loop/downstreams.rs
+++ b/crates/node/src/event_loop/downstreams.rs
@@ -13,6 +13,25 @@
 /// A client rejected for want of descriptors should come back after this time.
 const DESCRIPTOR_RETRY_AFTER: Millis = 500.0;
 
+/// What becomes of a connection after an answer, as far as this process is concerned; its client may close it anyway.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AfterAnswer {
+    /// It takes the next request.
+    Keep,
+    /// The answer is the last on it.
+    Close,
+}
+
+impl AfterAnswer {
+    fn keep_if(keeps: bool) -> AfterAnswer {
+        if keeps {
+            AfterAnswer::Keep
+        } else {
+            AfterAnswer::Close
+        }
+    }
+}
+
 impl EventLoop {
     /// Handles all requests that have come whole on a connection, as far as their answers find room.
     pub(super) fn handle_requests(&mut self, id: ConnectionId, now: Millis) {
@@ -36,7 +55,9 @@
             IncomingRequest::Job(job) => self.handle_job(id, *job, now),
             IncomingRequest::Invalid(405) => {
                 let allow = [("Allow", "POST".to_string())];
-                self.reply(id, now, false, |keep_alive| http::response(405, &allow, b"", keep_alive));
+                self.reply(id, now, AfterAnswer::Close, |keep_alive| {
+                    http::response(405, &allow, b"", keep_alive)
+                });
             }
             IncomingRequest::Invalid(status) => self.reply_with_status(id, status, now),
             IncomingRequest::JobStatus(body) => self.handle_job_status(id, &body, now),
@@ -46,9 +67,9 @@
     /// Answers whether clients should come here.
     fn reply_readiness(&mut self, id: ConnectionId, now: Millis) {
         let is_ready = !self.drain.is_on() && self.is_ready(now);
-        let keeps = self.drain.keeps_connections(now, !is_ready);
+        let after = AfterAnswer::keep_if(self.drain.keeps_connections(now, !is_ready));
         let status = if is_ready { 200 } else { 503 };
-        self.reply(id, now, keeps, |keep_alive| http::response(status, &[], b"", keep_alive));
+        self.reply(id, now, after, |keep_alive| http::response(status, &[], b"", keep_alive));
     }
 
     /// Hands a job to the dispatcher, or rejects it for a reason of this process's own.
@@ -81,7 +102,7 @@
     fn reject_job(&mut self, id: ConnectionId, job: &Job, retry_after: Millis, now: Millis) {
         let rejected = Answer::Rejected { retry_after };
         self.dispatch.metrics.ended(job.class, job.customer, rejected.kind());
-        self.reply(id, now, false, |keep_alive| rejected.bytes(keep_alive));
+        self.reply(id, now, AfterAnswer::Close, |keep_alive| rejected.bytes(keep_alive));
     }
 
     /// The advice in a rejection for want of descriptors; 0: none.
@@ -109,7 +130,7 @@
         if let Some(Socket { role: Role::Downstream(connection, _), .. }) = self.socket(id) {
             connection.brings_job_status = true;
         }
-        self.reply(id, now, true, |keep_alive| http::response(status, &[], b"", keep_alive));
+        self.reply(id, now, AfterAnswer::Keep, |keep_alive| http::response(status, &[], b"", keep_alive));
     }
 
     /// Remembers which job's answer a connection waits for.
@@ -119,24 +140,23 @@
         }
     }
 
-    /// Answers the current request of a connection. `keeps`: whether the connection may outlive the answer, as far as
-    /// this process is concerned; `bytes` gives the answer for what comes of that.
+    /// Answers the current request of a connection; `bytes` gives the answer for a connection that is kept or not.
     pub(super) fn reply(
         &mut self,
         id: ConnectionId,
         now: Millis,
-        keeps: bool,
+        after: AfterAnswer,
         bytes: impl Fn(bool) -> Vec<u8>,
     ) {
         let Some(Socket { role: Role::Downstream(connection, job), .. }) = self.socket(id) else { return };
-        let keep_alive = connection.keeps(keeps);
+        let keep_alive = connection.keeps(after == AfterAnswer::Keep);
         connection.answer(&bytes(keep_alive), keep_alive, now);
         *job = None;
     }
 
     /// Answers the current request with a status alone, and lets the connection end.
     pub(super) fn reply_with_status(&mut self, id: ConnectionId, status: u16, now: Millis) {
-        self.reply(id, now, false, |keep_alive| http::response(status, &[], b"", keep_alive));
+        self.reply(id, now, AfterAnswer::Close, |keep_alive| http::response(status, &[], b"", keep_alive));
     }
 
     /// Answers a client whose job was not accepted.
@@ -144,16 +164,17 @@
         match why {
             JobNotAccepted::DuplicateId => self.reply_with_status(id, 409, now),
             JobNotAccepted::Answered(answer) => {
-                let keeps = self.drain.keeps_connections(now, true);
-                self.reply(id, now, keeps, |keep_alive| answer.bytes(keep_alive));
+                let after = AfterAnswer::keep_if(self.drain.keeps_connections(now, true));
+                self.reply(id, now, after, |keep_alive| answer.bytes(keep_alive));
             }
         }
     }
 
     /// Gives a client its final answer.
     pub(super) fn answer(&mut self, client: ConnectionId, answer: &Answer, now: Millis) {
-        let keeps = self.drain.keeps_connections(now, !matches!(answer, Answer::Served(_)));
-        self.reply(client, now, keeps, |keep_alive| answer.bytes(keep_alive));
+        let after =
+            AfterAnswer::keep_if(self.drain.keeps_connections(now, !matches!(answer, Answer::Served(_))));
+        self.reply(client, now, after, |keep_alive| answer.bytes(keep_alive));
         self.drive(client);
     }
 }
--- a/crates/node/src/event_loop/idle_downstreams.rs
+++ b/crates/node/src/event_loop/idle_downstreams.rs
@@ -1,5 +1,6 @@
 //! Downstream connections that may be closed: to free descriptors, and near the end of a drain.
 
+use super::downstreams::AfterAnswer;
 use super::{ConnectionId, EventLoop, Role, Socket};
 use crate::answer::Answer;
 use crate::clock::Millis;
@@ -46,7 +47,8 @@
         let now = self.clock.now();
         let mut idle = Vec::new();
         for socket in self.sockets.iter() {
-            if let Some(connection) = socket.role.downstream().filter(|c| c.may_close(now)) {
+            if let Some(connection) = socket.role.downstream().filter(|connection| connection.may_close(now))
+            {
                 idle.push((IdleRank::new(connection), socket.id));
             }
         }
@@ -72,7 +74,7 @@
                 connection.give_up_request();
             }
             let rejected = Answer::Rejected { retry_after: 0.0 };
-            self.reply(id, now, false, |keep_alive| rejected.bytes(keep_alive));
+            self.reply(id, now, AfterAnswer::Close, |keep_alive| rejected.bytes(keep_alive));
             self.drive(id);
         }
     }
--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -53,8 +53,18 @@
     /// It has brought an answer before this task. If it breaks now, something on the way may have cut it off while it
     /// stood idle: the worker's health shows nothing of that.
     is_reused: bool,
-    is_up: bool,
-    is_open: bool,
+    state: State,
+}
+
+/// How far a connection is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum State {
+    /// Its connect has begun.
+    Connecting,
+    /// Its connect has succeeded.
+    Up,
+    /// It is of no more use.
+    Closed,
 }
 
 impl Connection {
@@ -67,14 +77,13 @@
             task: None,
             is_written: false,
             is_reused: false,
-            is_up: false,
-            is_open: true,
+            state: State::Connecting,
         }
     }
 
     /// Takes on a task; its request is written when the connection is up.
     pub fn start(&mut self, task: Task) {
-        if holds(Invariant::ConnectionIdle, self.is_open && self.task.is_none()) {
+        if holds(Invariant::ConnectionIdle, !self.is_closed() && self.task.is_none()) {
             self.task = Some(task);
             self.is_written = false;
         }
@@ -95,7 +104,9 @@
 
     /// The connect has succeeded.
     pub fn connected(&mut self) {
-        self.is_up = true;
+        if self.state == State::Connecting {
+            self.state = State::Up;
+        }
     }
 
     /// What it is used for; `None`: nothing.
@@ -103,14 +114,14 @@
         self.task
     }
 
-    /// Whether the connect has succeeded.
+    /// Whether the connect has succeeded and it is of use.
     pub fn is_up(&self) -> bool {
-        self.is_up
+        self.state == State::Up
     }
 
     /// Whether it can be given a task.
     pub fn is_idle(&self) -> bool {
-        self.is_open && self.is_up && self.task.is_none()
+        self.is_up() && self.task.is_none()
     }
 
     /// From when on it can be given an attempt.
@@ -124,7 +135,7 @@
 
     /// Whether it is of no more use.
     pub fn is_closed(&self) -> bool {
-        !self.is_open
+        self.state == State::Closed
     }
 
     /// Takes in what was read; says if and how that ends the task.
@@ -137,7 +148,7 @@
                 Ok(None) => {
                     if self.task.is_none() && !self.decoder.is_empty() {
                         // The next task would take these bytes for the begin of its answer.
-                        self.is_open = false;
+                        self.state = State::Closed;
                     }
                     return None;
                 }
@@ -148,16 +159,17 @@
 
     fn answered(&mut self, message: Message<StatusLine>) -> Option<(Task, End)> {
         // An answer before the request's last byte leaves the rest of it unread.
-        self.is_open &= message.keep_alive && self.decoder.is_empty() && self.is_sent();
-        let task = self.task.take();
+        let can_be_reused = message.keep_alive && self.decoder.is_empty() && self.is_sent();
+        if !can_be_reused || self.task.is_none() {
+            self.state = State::Closed;
+        }
         self.is_reused = true;
-        self.is_open &= task.is_some();
-        Some((task?, End::Answer(message)))
+        Some((self.task.take()?, End::Answer(message)))
     }
 
     /// It never came up, ended or failed; says how that ends the task, if there is one.
     pub fn broken(&mut self) -> Option<(Task, End)> {
-        self.is_open = false;
+        self.state = State::Closed;
         let end = match self.decoder.end() {
             Some(message) => End::Answer(message),
             None if self.is_reused => End::Stale { sent: self.is_sent() },
@@ -175,7 +187,9 @@
     /// Gives up the task. A request of which nothing was written is taken back; else the connection is closed.
     pub fn give_up(&mut self) {
         if self.task.take().is_some() {
-            self.is_open &= !self.is_sent() && !self.outbox.is_begun();
+            if self.is_sent() || self.outbox.is_begun() {
+                self.state = State::Closed;
+            }
             self.outbox.clear();
         }
     }
--- a/crates/node/src/upstream/tests.rs
+++ b/crates/node/src/upstream/tests.rs
@@ -3,18 +3,19 @@
 
 #[test]
 fn a_connection_is_used_again_once_it_has_been_quiet_and_the_last_of_those_first() {
-    let (worker, mut pool) = (WorkerId(1), Pool::default());
-    let mut c = Connection::new(worker);
-    c.connected();
-    assert_eq!(c.usable_from(100.0), 100.0); // it has brought no answer yet
-    c.start(Task::HealthCheck(worker));
-    c.write(b"x");
-    c.outbox.sent(1);
-    assert!(c.receive(&http::response(200, &[], b"", true)).is_some());
-    assert_eq!(c.usable_from(100.0), 100.0 + REUSE_DELAY);
-    [(1, 120.0), (2, 121.0), (3, 125.0)]
-        .into_iter()
-        .for_each(|(key, from)| pool.put(worker, ConnectionId::test(key), from));
+    let worker = WorkerId(1);
+    let mut pool = Pool::default();
+    let mut connection = Connection::new(worker);
+    connection.connected();
+    assert_eq!(connection.usable_from(100.0), 100.0); // it has brought no answer yet
+    connection.start(Task::HealthCheck(worker));
+    connection.write(b"x");
+    connection.outbox.sent(1);
+    assert!(connection.receive(&http::response(200, &[], b"", true)).is_some());
+    assert_eq!(connection.usable_from(100.0), 100.0 + REUSE_DELAY);
+    for (id, usable_from) in [(1, 120.0), (2, 121.0), (3, 125.0)] {
+        pool.put(worker, ConnectionId::test(id), usable_from);
+    }
     assert!(pool.take(worker, 119.0).is_none());
     assert_eq!(pool.take(worker, 122.0), Some(ConnectionId::test(2)));
     assert_eq!(pool.take(worker, 122.0), Some(ConnectionId::test(1)));
@@ -25,12 +26,12 @@
 fn a_second_answer_closes_the_connection_that_it_comes_on() {
     let answer = http::response(202, &[], b"", true);
     for second in [&answer[..], &answer[..5], b"x"] {
-        let mut c = Connection::new(WorkerId(1));
-        c.connected();
-        c.start(Task::Attempt(JobId(1), AttemptId(0)));
-        c.write(b"x");
-        c.outbox.sent(1);
-        assert!(c.receive(&answer).is_some() && c.is_idle());
-        assert!(c.receive(second).is_none() && c.is_closed());
+        let mut connection = Connection::new(WorkerId(1));
+        connection.connected();
+        connection.start(Task::Attempt(JobId(1), AttemptId(0)));
+        connection.write(b"x");
+        connection.outbox.sent(1);
+        assert!(connection.receive(&answer).is_some() && connection.is_idle());
+        assert!(connection.receive(second).is_none() && connection.is_closed());
     }
 }
--- a/crates/node/tests/serve/closes.rs
+++ b/crates/node/tests/serve/closes.rs
@@ -1,22 +1,22 @@
-//! Clients that leave, and what is under way for them just then.
+//! Clients that disconnect, and what is under way for them just then.
 
 use super::*;
 
 /// Waits until so many requests are under way.
-pub fn in_flight(s: &Scheduler, n: usize) {
-    while !s.call("GET /stats").1.contains(&format!(r#""in_flight":{n},"#)) {}
+pub fn in_flight(scheduler: &Scheduler, n: usize) {
+    while !scheduler.admin_request("GET /stats").body.contains(&format!(r#""in_flight":{n},"#)) {}
 }
 
 #[test]
 fn a_client_that_sends_much_behind_its_request_and_leaves_is_seen_to_leave() {
-    // Guards against: reading rests while the buffer is full, and the end of the connection stands behind what is not read.
-    let s = Scheduler::start("sends-much");
-    let mut client = s.connect();
-    client.job("t1");
-    let mut worker = Peer::new(s.target.accept().unwrap().0);
+    // Nothing is read while the buffer is full, and the end of the connection stands behind what is not read.
+    let scheduler = Scheduler::start("sends-much");
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    let mut worker = scheduler.accept_worker_connection();
     worker.message();
-    worker.send(TAKEN);
-    s.news(r#"{"id":"t1","from":"s-1","state":"running","share":0.1}"#);
+    worker.send(ACCEPTED);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"running","share":0.1}"#);
     // More than the scheduler reads ahead, and no more than the system takes in besides: then the end comes through.
     for n in 0..2 {
         client.send(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: p{n}\r\nContent-Length: 60000\r\n\r\n"));
@@ -24,53 +24,53 @@
     }
     drop(client);
     let mut kept = Some(worker);
-    assert_eq!(s.next_request(&mut kept).message().0, "DELETE /jobs/t1 HTTP/1.1");
-    in_flight(&s, 0);
+    assert_eq!(scheduler.next_request(&mut kept).message().line, "DELETE /jobs/t1 HTTP/1.1");
+    in_flight(&scheduler, 0);
     // None of what stood behind it was begun.
-    let mut next = s.connect();
-    next.job("t2");
-    assert!(s.next_request(&mut kept).message().1.contains("X-Trace-Id: t2\r\n"));
+    let mut next = scheduler.connect();
+    next.send_job("t2");
+    assert!(scheduler.next_request(&mut kept).message().head.contains("X-Trace-Id: t2\r\n"));
 }
 
 #[test]
-fn a_result_that_crosses_the_withdrawal_of_its_job_disturbs_nobody() {
-    let s = Scheduler::start("withdrawal-crosses");
-    let mut client = s.connect();
-    client.job("t1");
-    let mut worker = Some(Peer::new(s.target.accept().unwrap().0));
+fn a_result_that_crosses_the_cancellation_of_its_job_disturbs_nobody() {
+    let scheduler = Scheduler::start("withdrawal-crosses");
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    let mut worker = Some(scheduler.accept_worker_connection());
     worker.as_mut().unwrap().message();
-    worker.as_mut().unwrap().send(TAKEN);
-    s.news(r#"{"id":"t1","from":"s-1","state":"started"}"#);
+    worker.as_mut().unwrap().send(ACCEPTED);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"started"}"#);
     drop(client);
-    assert_eq!(s.next_request(&mut worker).message().0, "DELETE /jobs/t1 HTTP/1.1");
-    s.news(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    assert_eq!(scheduler.next_request(&mut worker).message().line, "DELETE /jobs/t1 HTTP/1.1");
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
     worker.as_mut().unwrap().send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
-    in_flight(&s, 0);
+    in_flight(&scheduler, 0);
     // The id may come again.
-    let mut again = s.connect();
-    again.job("t1");
-    assert!(s.next_request(&mut worker).message().1.contains("X-Trace-Id: t1\r\n"));
+    let mut again = scheduler.connect();
+    again.send_job("t1");
+    assert!(scheduler.next_request(&mut worker).message().head.contains("X-Trace-Id: t1\r\n"));
 }
 
 #[test]
 fn a_client_that_leaves_before_its_attempt_fails_gets_no_further_one() {
-    let s = Scheduler::with("leaves-before-retry", 2);
-    let mut client = s.connect();
-    client.job("t1");
-    let mut worker = Peer::new(s.target.accept().unwrap().0);
+    let scheduler = Scheduler::with_workers("leaves-before-retry", 2);
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    let mut worker = scheduler.accept_worker_connection();
     worker.message();
-    worker.send(TAKEN);
-    s.news(r#"{"id":"t1","from":"s-1","state":"started"}"#);
-    s.news(r#"{"id":"t1","from":"s-2","state":"started"}"#);
+    worker.send(ACCEPTED);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"started"}"#);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-2","state":"started"}"#);
     drop(client);
-    in_flight(&s, 0);
-    s.news(r#"{"id":"t1","from":"s-1","state":"lost"}"#);
-    s.news(r#"{"id":"t1","from":"s-2","state":"lost"}"#);
-    let mut next = s.connect();
-    next.job("t2");
+    in_flight(&scheduler, 0);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"lost"}"#);
+    scheduler.send_job_status(r#"{"id":"t1","from":"s-2","state":"lost"}"#);
+    let mut next = scheduler.connect();
+    next.send_job("t2");
     let mut kept = Some(worker);
     loop {
-        let (line, head, _) = s.next_request(&mut kept).message();
+        let Message { line, head, .. } = scheduler.next_request(&mut kept).message();
         if head.contains("X-Trace-Id: t2\r\n") {
             break;
         }
@@ -80,24 +80,24 @@
 
 #[test]
 fn idle_clients_that_hold_all_descriptors_do_not_keep_discovery_from_being_called() {
-    let s = Scheduler::start("crowded");
-    let mut watch = s.listed();
+    let scheduler = Scheduler::start("crowded");
+    let mut watch = scheduler.confirm_list();
     // 82 descriptors, 39 of them for connections from outside.
-    let mut idle: Vec<Peer> = (0..39).map(|_| s.connect()).collect();
+    let mut idle: Vec<Connection> = (0..39).map(|_| scheduler.connect()).collect();
     for client in &mut idle {
         client.send("GET /up HTTP/1.1\r\n\r\n");
-        assert_eq!(client.message().0, "HTTP/1.1 200 OK");
+        assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     }
-    let _more: Vec<Peer> = (0..39).map(|_| s.connect()).collect();
+    let _more: Vec<Connection> = (0..39).map(|_| scheduler.connect()).collect();
     for _ in 0..3 {
         drop(watch);
-        watch = Peer::new(s.discovery.accept().unwrap().0);
-        assert!(watch.message().0.contains("after=41&wait_ms=0 "));
+        watch = scheduler.accept_discovery_connection();
+        assert!(watch.message().line.contains("after=41&wait_ms=0 "));
     }
-    watch.list(r#"{"version":42,"full":false,"servers":[]}"#);
-    assert!(watch.message().0.contains("after=42&"));
+    watch.send_list(r#"{"version":42,"full":false,"servers":[]}"#);
+    assert!(watch.message().line.contains("after=42&"));
     // And a new client's job finds its way all the same.
-    let mut client = s.connect();
-    client.job("t1");
-    Peer::new(s.target.accept().unwrap().0).message();
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    scheduler.accept_worker_connection().message();
 }
--- /dev/null
+++ b/crates/node/tests/serve/connection.rs
@@ -0,0 +1,108 @@
+//! The other ends of a scheduler's connections, as the tests play them.
+
+use super::harness::TEST_TIMEOUT;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// The other end of one of the scheduler's connections.
+pub struct Connection {
+    pub reader: BufReader<TcpStream>,
+}
+
+/// A message as it was read.
+pub struct Message {
+    /// Its first line.
+    pub line: String,
+    /// Its first line and headers.
+    pub head: String,
+    pub body: String,
+}
+
+impl Connection {
+    /// A connection whose reads fail rather than hang.
+    pub fn new(stream: TcpStream) -> Connection {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Connection { reader: BufReader::new(stream) }
+    }
+
+    /// Sends bytes.
+    pub fn send(&mut self, text: &str) {
+        self.reader.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// Submits a job under this trace id.
+    pub fn send_job(&mut self, id: &str) {
+        self.send(&format!(
+            "POST /render/x?y=1 HTTP/1.1\r\nX-Trace-Id: {id}\r\nX-Qos: render\r\nContent-Length: 2\r\n\r\nab"
+        ));
+    }
+
+    /// Answers a call to discovery.
+    pub fn send_list(&mut self, body: &str) {
+        self.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+    }
+
+    /// Reads the next message.
+    pub fn message(&mut self) -> Message {
+        let mut head = String::new();
+        let mut length = 0;
+        loop {
+            let mut line = String::new();
+            assert!(self.reader.read_line(&mut line).unwrap() > 0, "the connection ended after {head:?}");
+            if let Some(value) = line.strip_prefix("Content-Length: ") {
+                length = value.trim().parse().unwrap();
+            }
+            if line == "\r\n" {
+                break;
+            }
+            head += &line;
+        }
+        let mut body = vec![0; length];
+        self.reader.read_exact(&mut body).unwrap();
+        let line = head.lines().next().unwrap().to_string();
+        Message { line, head, body: String::from_utf8(body).unwrap() }
+    }
+
+    /// Whether something is unread, be it the end.
+    pub fn has_data(&self) -> bool {
+        let stream = self.reader.get_ref();
+        stream.set_nonblocking(true).unwrap();
+        let has_data = !self.reader.buffer().is_empty() || stream.peek(&mut [0]).is_ok();
+        stream.set_nonblocking(false).unwrap();
+        has_data
+    }
+
+    /// Waits for the next byte; says whether the end comes in its place.
+    pub fn reaches_end(&mut self) -> bool {
+        self.reader.read(&mut [0]).unwrap() == 0
+    }
+}
+
+/// A worker's listener at which connections come up late: its backlog of one is full until the first is accepted.
+pub struct SlowListener {
+    listener: TcpListener,
+    _filler: TcpStream,
+}
+
+impl SlowListener {
+    /// Connections to it wait from now on.
+    pub fn with_full_backlog() -> SlowListener {
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket.listen(0).unwrap();
+        let listener = TcpListener::from(socket);
+        let filler = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        SlowListener { listener, _filler: filler }
+    }
+
+    /// For the scheduler's configuration.
+    pub fn listener(&self) -> TcpListener {
+        self.listener.try_clone().unwrap()
+    }
+
+    /// Lets connections come up; gives the first that does, once the system has tried it again.
+    pub fn accept_first(&self) -> Connection {
+        drop(self.listener.accept().unwrap());
+        Connection::new(self.listener.accept().unwrap().0)
+    }
+}
--- a/crates/node/tests/serve/golden.rs
+++ b/crates/node/tests/serve/golden.rs
@@ -6,8 +6,8 @@
 use std::time::Instant;
 
 /// Reads what has a known length, head and body, as it came.
-fn whole(peer: &mut Peer) -> String {
-    let (_, head, body) = peer.message();
+fn whole(peer: &mut Connection) -> String {
+    let Message { head, body, .. } = peer.message();
     format!("{head}\n{body}\n---\n")
 }
 
@@ -21,49 +21,49 @@
     text.lines().map(|line| blank(line) + "\n").collect()
 }
 
-fn admin(s: &Scheduler, line: &str) -> String {
-    let mut peer = Peer::new(TcpStream::connect(s.mgmt).unwrap());
+fn admin(scheduler: &Scheduler, line: &str) -> String {
+    let mut peer = Connection::new(TcpStream::connect(scheduler.admin_addr).unwrap());
     peer.send(&format!("{line} HTTP/1.1\r\nHost: m\r\n\r\n"));
     format!("> {line}\n{}", whole(&mut peer))
 }
 
-fn client(s: &Scheduler, text: &str) -> String {
-    let mut peer = s.connect();
+fn client(scheduler: &Scheduler, text: &str) -> String {
+    let mut peer = scheduler.connect();
     peer.send(text);
     format!("> {}\n{}", text.lines().next().unwrap(), whole(&mut peer))
 }
 
 /// One request of each method that a worker gets for a job whose client leaves once it has started.
-fn worker_requests(s: &Scheduler) -> String {
-    let mut client = Some(s.connect());
-    client.as_mut().unwrap().job("t1");
-    let (mut peers, mut by_method) = (Vec::<Peer>::new(), BTreeMap::new());
-    s.target.set_nonblocking(true).unwrap();
-    let until = Instant::now() + HANG;
+fn worker_requests(scheduler: &Scheduler) -> String {
+    let mut client = Some(scheduler.connect());
+    client.as_mut().unwrap().send_job("t1");
+    let (mut peers, mut by_method) = (Vec::<Connection>::new(), BTreeMap::new());
+    scheduler.worker_listener.set_nonblocking(true).unwrap();
+    let until = Instant::now() + TEST_TIMEOUT;
     while by_method.len() < 3 {
         assert!(Instant::now() < until, "only {by_method:?} came");
-        if let Ok((stream, _)) = s.target.accept() {
+        if let Ok((stream, _)) = scheduler.worker_listener.accept() {
             stream.set_nonblocking(false).unwrap();
-            peers.push(Peer::new(stream));
+            peers.push(Connection::new(stream));
         }
         for peer in peers.iter_mut().filter(|peer| peer.has_data()) {
             let text = whole(peer);
             let method = text.split(' ').next().unwrap().to_string();
             by_method.entry(method).or_insert(text.clone());
             if text.starts_with("GET ") {
-                peer.list(r#"{"qps":1,"x0":4}"#);
+                peer.send_list(r#"{"qps":1,"x0":4}"#);
             } else {
-                peer.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+                peer.send(ACCEPTED);
             }
             if text.starts_with("POST ") {
-                s.news(r#"{"id":"t1","from":"s-1","state":"started"}"#);
+                scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"started"}"#);
                 client = None;
             }
         }
         std::thread::yield_now();
     }
     drop(client);
-    s.target.set_nonblocking(false).unwrap();
+    scheduler.worker_listener.set_nonblocking(false).unwrap();
     by_method.into_values().collect()
 }
 
@@ -75,27 +75,27 @@
             "Specifics": {"ReportX0": "free slots"}, "Services""#;
         text.replace("\"Services\"", specifics)
     };
-    let s = Scheduler::changed_unconfirmed("golden", 1, probes);
+    let scheduler = Scheduler::with_config_without_list("golden", 1, probes);
     let mut seen = String::new();
-    let mut discovery = Peer::new(s.discovery.accept().unwrap().0);
+    let mut discovery = scheduler.accept_discovery_connection();
     seen += &whole(&mut discovery);
-    discovery.list(r#"{"version":41,"full":false,"servers":[]}"#);
+    discovery.send_list(r#"{"version":41,"full":false,"servers":[]}"#);
     seen += &whole(&mut discovery);
     for line in ["GET /healthcheck", "GET /stats", "GET /members", "PUT /stats", "GET /nothing"] {
-        seen += &admin(&s, line);
+        seen += &admin(&scheduler, line);
     }
     for line in ["PUT /workers/s-9/maint", "PUT /workers/s-1/maint", "PUT /workers/s-1/ready"] {
-        seen += &admin(&s, line);
+        seen += &admin(&scheduler, line);
     }
-    seen += &client(&s, "GET /up HTTP/1.1\r\n\r\n");
-    seen += &client(&s, "POST /up HTTP/1.1\r\n\r\n");
-    seen += &client(&s, "POST /other HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n");
-    seen += &client(&s, "nonsense\r\n\r\n");
-    seen += &client(&s, "POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
-    seen += &worker_requests(&s);
-    assert!(s.says_yes("PUT /healthcheck/fail"));
-    seen += &admin(&s, "GET /healthcheck");
-    seen += &client(&s, "GET /up HTTP/1.1\r\n\r\n");
+    seen += &client(&scheduler, "GET /up HTTP/1.1\r\n\r\n");
+    seen += &client(&scheduler, "POST /up HTTP/1.1\r\n\r\n");
+    seen += &client(&scheduler, "POST /other HTTP/1.1\r\nX-Trace-Id: a\r\n\r\n");
+    seen += &client(&scheduler, "nonsense\r\n\r\n");
+    seen += &client(&scheduler, "POST /_jobs/news HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}");
+    seen += &worker_requests(&scheduler);
+    assert!(scheduler.admin_accepts("PUT /healthcheck/fail"));
+    seen += &admin(&scheduler, "GET /healthcheck");
+    seen += &client(&scheduler, "GET /up HTTP/1.1\r\n\r\n");
     let seen = steady(&seen);
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/sockets.txt");
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
--- a/crates/node/tests/serve/large_lists.rs
+++ b/crates/node/tests/serve/large_lists.rs
@@ -29,73 +29,73 @@
 /// The list of a large fleet is longer than any request or result may be.
 #[test]
 fn a_list_of_thousands_of_workers_is_taken_in_and_its_draining_workers_get_nothing() {
-    let s = Scheduler::start("large-list");
-    let mut watch = s.listed();
-    let addr = s.target.local_addr().unwrap().to_string();
-    watch.list(&large_list(42, false, &addr));
-    assert!(watch.message().0.contains("after=42&wait_ms=4000 "));
+    let scheduler = Scheduler::start("large-list");
+    let mut watch = scheduler.confirm_list();
+    let addr = scheduler.worker_listener.local_addr().unwrap().to_string();
+    watch.send_list(&large_list(42, false, &addr));
+    assert!(watch.message().line.contains("after=42&wait_ms=4000 "));
     watch.send(&in_chunks(&large_list(43, true, &addr)));
-    assert!(watch.message().0.contains("after=43&wait_ms=4000 "));
-    let mut client = s.connect();
-    client.job("t1");
-    assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
+    assert!(watch.message().line.contains("after=43&wait_ms=4000 "));
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    assert_eq!(client.message().line, "HTTP/1.1 503 Service Unavailable");
     // Without a length the answer ends with its connection.
     watch.send(&format!("HTTP/1.1 200 OK\r\n\r\n{}", large_list(44, false, &addr)));
     drop(watch);
-    let mut again = Peer::new(s.discovery.accept().unwrap().0);
-    assert!(again.message().0.contains("after=44&"));
+    let mut again = scheduler.accept_discovery_connection();
+    assert!(again.message().line.contains("after=44&"));
 }
 
 /// The list of the configuration may be of long ago, and clients may come before `/up` was ever asked.
 #[test]
 fn the_first_jobs_of_a_process_are_placed_by_the_list_that_discovery_has() {
-    let s = Scheduler::unconfirmed("first-list", 2);
-    let addr = s.target.local_addr().unwrap().to_string();
-    let mut client = s.connect();
-    client.job("t1");
-    let mut watch = Peer::new(s.discovery.accept().unwrap().0);
-    assert!(watch.message().0.contains("after=41&wait_ms=0 "));
+    let scheduler = Scheduler::without_list("first-list", 2);
+    let addr = scheduler.worker_listener.local_addr().unwrap().to_string();
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    let mut watch = scheduler.accept_discovery_connection();
+    assert!(watch.message().line.contains("after=41&wait_ms=0 "));
     std::thread::sleep(Duration::from_millis(150));
     let draining = |id| format!(r#"{{"id":"{id}","addr":"{addr}","state":"draining"}}"#);
-    watch.list(&format!(
+    watch.send_list(&format!(
         r#"{{"version":42,"full":false,"servers":[{},{}]}}"#,
         draining("s-1"),
         draining("s-2")
     ));
-    assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
-    s.target.set_nonblocking(true).unwrap();
-    assert!(s.target.accept().is_err(), "a job went out before the list had come");
+    assert_eq!(client.message().line, "HTTP/1.1 503 Service Unavailable");
+    scheduler.worker_listener.set_nonblocking(true).unwrap();
+    assert!(scheduler.worker_listener.accept().is_err(), "a job went out before the list had come");
 }
 
-/// What discovery has begun to write counts as told, whether or not the rest arrives.
+/// What discovery has begun to send counts as notified, whether or not the rest arrives.
 #[test]
 fn nothing_begins_by_a_list_that_discovery_has_begun_to_replace() {
-    let s = Scheduler::start("cut-list");
-    let mut watch = s.listed();
+    let scheduler = Scheduler::start("cut-list");
+    let mut watch = scheduler.confirm_list();
     watch.send("HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n{\"version\":42,");
     // Nothing more comes: the call is made again elsewhere, and this one is given up.
-    let mut again = Peer::new(s.discovery.accept().unwrap().0);
-    assert!(again.message().0.contains("after=41&wait_ms=0 ") && watch.ends());
-    let mut client = s.connect();
-    client.job("t1");
+    let mut again = scheduler.accept_discovery_connection();
+    assert!(again.message().line.contains("after=41&wait_ms=0 ") && watch.reaches_end());
+    let mut client = scheduler.connect();
+    client.send_job("t1");
     std::thread::sleep(Duration::from_millis(100));
-    s.target.set_nonblocking(true).unwrap();
-    assert!(s.target.accept().is_err(), "a job went out by a list that was replaced");
-    s.target.set_nonblocking(false).unwrap();
-    again.list(r#"{"version":42,"full":false,"servers":[]}"#);
-    assert!(Peer::new(s.target.accept().unwrap().0).message().1.contains("X-Trace-Id: t1\r\n"));
+    scheduler.worker_listener.set_nonblocking(true).unwrap();
+    assert!(scheduler.worker_listener.accept().is_err(), "a job went out by a list that was replaced");
+    scheduler.worker_listener.set_nonblocking(false).unwrap();
+    again.send_list(r#"{"version":42,"full":false,"servers":[]}"#);
+    assert!(scheduler.accept_worker_connection().message().head.contains("X-Trace-Id: t1\r\n"));
 }
 
-/// A discovery that is down or busy says no, and tells nothing by that, in however many pieces it comes.
+/// The rejection of a discovery that is down or busy notifies of nothing, in however many pieces it comes.
 #[test]
 fn a_refusal_of_discovery_leaves_the_list_in_force() {
-    let s = Scheduler::start("refusing-discovery");
-    let mut watch = s.listed();
+    let scheduler = Scheduler::start("refusing-discovery");
+    let mut watch = scheduler.confirm_list();
     watch.send("HTTP/1.1 503 Serv");
     std::thread::sleep(Duration::from_millis(400));
     watch.send("ice Unavailable\r\nContent-Length: 0\r\n\r\n");
-    assert!(Peer::new(s.discovery.accept().unwrap().0).message().0.contains("wait_ms=0 "));
-    let mut client = s.connect();
-    client.job("t1");
-    assert!(Peer::new(s.target.accept().unwrap().0).message().1.contains("X-Trace-Id: t1\r\n"));
+    assert!(scheduler.accept_discovery_connection().message().line.contains("wait_ms=0 "));
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    assert!(scheduler.accept_worker_connection().message().head.contains("X-Trace-Id: t1\r\n"));
 }
--- a/crates/node/tests/serve/late_connections.rs
+++ b/crates/node/tests/serve/late_connections.rs
@@ -1,4 +1,4 @@
-//! Two events that cross: a connection to a worker that comes up late, and what has happened meanwhile.
+//! Connections to workers that come up late, and what has happened meanwhile.
 
 use super::*;
 
@@ -7,42 +7,42 @@
 }
 
 /// A scheduler with one worker at which connections come up late, one job on its way there, and discovery's end of the watch.
-fn with_a_late_connection(name: &str) -> (Scheduler, Gate, Peer, Peer) {
-    let gate = Gate::shut();
-    let s = Scheduler::before(gate.target(), name, 1, as_it_is);
-    let discovery = s.listed();
-    let mut client = s.connect();
-    client.job("t1");
-    while !s.call("GET /stats").1.contains(r#""in_flight":1"#) {}
-    (s, gate, client, discovery)
+fn with_a_late_connection(name: &str) -> (Scheduler, SlowListener, Connection, Connection) {
+    let slow = SlowListener::with_full_backlog();
+    let scheduler = Scheduler::with_worker_listener(slow.listener(), name, 1, as_it_is);
+    let discovery = scheduler.confirm_list();
+    let mut client = scheduler.connect();
+    client.send_job("t1");
+    while !scheduler.admin_request("GET /stats").body.contains(r#""in_flight":1"#) {}
+    (scheduler, slow, client, discovery)
 }
 
 #[test]
 fn a_worker_that_drains_while_its_connection_comes_up_gets_no_job_over_it() {
-    let (_s, gate, mut client, mut discovery) = with_a_late_connection("late-drained");
+    let (_s, slow, mut client, mut discovery) = with_a_late_connection("late-drained");
     let draining = r#"{"version":42,"full":false,"servers":[{"id":"s-1","addr":"ADDR","state":"draining"}]}"#;
-    discovery.list(&draining.replace("ADDR", &gate.target().local_addr().unwrap().to_string()));
-    assert!(discovery.message().0.contains("after=42&"));
-    let worker = gate.open();
-    assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
-    worker.0.get_ref().set_nonblocking(true).unwrap();
-    let nothing = worker.0.get_ref().peek(&mut [0]);
+    discovery.send_list(&draining.replace("ADDR", &slow.listener().local_addr().unwrap().to_string()));
+    assert!(discovery.message().line.contains("after=42&"));
+    let worker = slow.accept_first();
+    assert_eq!(client.message().line, "HTTP/1.1 503 Service Unavailable");
+    worker.reader.get_ref().set_nonblocking(true).unwrap();
+    let nothing = worker.reader.get_ref().peek(&mut [0]);
     assert!(nothing.is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock));
 }
 
 #[test]
 fn a_worker_that_is_gone_while_its_connection_comes_up_gets_no_job_over_it() {
-    let (_s, gate, mut client, mut discovery) = with_a_late_connection("late-gone");
-    discovery.list(r#"{"version":42,"full":true,"servers":[]}"#);
-    assert!(discovery.message().0.contains("after=42&"));
-    assert!(gate.open().ends());
-    assert_eq!(client.message().0, "HTTP/1.1 503 Service Unavailable");
+    let (_s, slow, mut client, mut discovery) = with_a_late_connection("late-gone");
+    discovery.send_list(r#"{"version":42,"full":true,"servers":[]}"#);
+    assert!(discovery.message().line.contains("after=42&"));
+    assert!(slow.accept_first().reaches_end());
+    assert_eq!(client.message().line, "HTTP/1.1 503 Service Unavailable");
 }
 
 #[test]
 fn an_attempt_over_a_late_connection_tells_the_time_that_is_left_then() {
-    let (_s, gate, _client, _discovery) = with_a_late_connection("late-told");
-    let (_, head, _) = gate.open().message();
+    let (_s, slow, _client, _discovery) = with_a_late_connection("late-told");
+    let Message { head, .. } = slow.accept_first().message();
     let left = head.split("X-Expires-In: ").nth(1).and_then(|rest| rest.split("u\r\n").next()).unwrap();
     // The system tries a connection again after a second; the client waits for sixty.
     assert!(left.parse::<u64>().unwrap() < 59_500_000, "{left} us");
@@ -50,11 +50,11 @@
 
 #[test]
 fn a_late_connection_brings_no_job_whose_client_has_left() {
-    let (s, gate, client, _discovery) = with_a_late_connection("late-left");
+    let (scheduler, slow, client, _discovery) = with_a_late_connection("late-left");
     drop(client);
-    while !s.call("GET /stats").1.contains(r#""in_flight":0"#) {}
-    let mut next = s.connect();
-    next.job("t2");
-    while !s.call("GET /stats").1.contains(r#""in_flight":1"#) {}
-    assert!(gate.open().message().1.contains("X-Trace-Id: t2\r\n"));
+    while !scheduler.admin_request("GET /stats").body.contains(r#""in_flight":0"#) {}
+    let mut next = scheduler.connect();
+    next.send_job("t2");
+    while !scheduler.admin_request("GET /stats").body.contains(r#""in_flight":1"#) {}
+    assert!(slow.accept_first().message().head.contains("X-Trace-Id: t2\r\n"));
 }
--- a/crates/node/tests/serve/members.rs
+++ b/crates/node/tests/serve/members.rs
@@ -1,5 +1,5 @@
-//! Schedulers that know of each other, on sockets: what the state machine does is tested in `members/` and in the
-//! laboratory; here it is whether the process carries it out.
+//! Schedulers that know of each other, on sockets: the state machine is tested in `crates/membership` and in the test
+//! bed; here it is whether the process carries its actions out.
 
 use super::*;
 use std::net::UdpSocket;
@@ -22,17 +22,14 @@
 }
 
 fn member(file: &str, name: &str, listen: SocketAddr, seeds: &[SocketAddr]) -> Scheduler {
-    let target = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let config = config(file, discovery.local_addr().unwrap(), target.local_addr().unwrap(), 1);
-    Scheduler::launch(config, Some(setup(file, name, listen, seeds)), target, discovery).confirmed()
+    Scheduler::with_setup(file, setup(file, name, listen, seeds))
 }
 
 /// Waits until what operators get has this in it, or lacks it.
-fn comes(s: &Scheduler, call: &str, part: &str) -> String {
-    let until = Instant::now() + HANG;
+fn comes(scheduler: &Scheduler, call: &str, part: &str) -> String {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        let shown = s.call(call).1;
+        let shown = scheduler.admin_request(call).body;
         if shown.contains(part) {
             return shown;
         }
@@ -60,12 +57,12 @@
     flood.write_all(&[0xff; 64]).unwrap();
     assert_eq!(flood.read(&mut [0]).unwrap_or(0), 0, "a state longer than any can be is not waited for");
     let mut client = a.connect();
-    client.job("t1");
-    let mut target = Peer::new(a.target.accept().unwrap().0);
-    target.message();
-    target.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-    a.news(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
-    assert_eq!(client.message().0, "HTTP/1.1 200 OK");
+    client.send_job("t1");
+    let mut worker = a.accept_worker_connection();
+    worker.message();
+    worker.send(ACCEPTED);
+    a.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     b.signal("-TERM");
     assert!(b.process.wait().unwrap().success());
     comes(&a, "GET /members", &believed("b", at_b, 1, "left"));
@@ -78,10 +75,11 @@
     let b = member("members-other", "b", at_b, &[at_a]);
     comes(&b, "GET /members", &believed("a", at_a, 1, "alive"));
     let mut second = member("members-second", "a", at_c, &[at_b]);
-    second.logs("a: another process that runs has its name; this scheduler ends");
+    second.wait_for_log("a: another process that runs has its name; this scheduler ends");
     assert!(!second.process.wait().unwrap().success());
     assert!(
-        b.call("GET /members").1.contains(&believed("a", at_a, 1, "alive")) && a.says_yes("GET /healthcheck")
+        b.admin_request("GET /members").body.contains(&believed("a", at_a, 1, "alive"))
+            && a.admin_accepts("GET /healthcheck")
     );
 }
 
@@ -90,9 +88,9 @@
     let [at_a, at_b] = [free(6), free(7)];
     let a = member("members-stays", "a", at_a, &[]);
     let file = "members-upgraded";
-    let mut old = Scheduler::upgradable_with(file, 88, Some(setup(file, "b", at_b, &[at_a])));
+    let mut old = Scheduler::upgradable_with_setup(file, 88, Some(setup(file, "b", at_b, &[at_a])));
     comes(&a, "GET /members", &believed("b", at_b, 1, "alive"));
-    let (new, _watches) = old.upgraded();
+    let (new, _watches) = old.upgrade();
     old.signal("-TERM");
     assert!(old.process.wait().unwrap().success());
     comes(&a, "GET /members", &believed("b", at_b, 2, "alive"));
@@ -101,7 +99,7 @@
 
 #[test]
 fn without_members_in_the_setup_there_are_none() {
-    let s = Scheduler::start("no-members");
-    assert_eq!(s.call("GET /members").0, "404");
-    assert!(!s.call("GET /stats").1.contains("members"));
+    let scheduler = Scheduler::start("no-members");
+    assert_eq!(scheduler.admin_request("GET /members").status, "404");
+    assert!(!scheduler.admin_request("GET /stats").body.contains("members"));
 }
--- a/crates/node/tests/serve/waiting.rs
+++ b/crates/node/tests/serve/waiting.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait, on sockets.
+//! Deferred jobs, on sockets.
 
 use super::*;
 use std::time::Instant;
@@ -13,97 +13,96 @@
 /// A scheduler at which jobs may wait.
 fn waiting(name: &str, attributes: &str) -> Scheduler {
     let setup = setup(name, &format!("<postusher><waiting {attributes}/></postusher>"));
-    let target = TcpListener::bind("127.0.0.1:0").unwrap();
-    let discovery = TcpListener::bind("127.0.0.1:0").unwrap();
-    let config = config(name, discovery.local_addr().unwrap(), target.local_addr().unwrap(), 1);
-    Scheduler::launch(config, Some(setup), target, discovery).confirmed()
+    Scheduler::with_setup(name, setup)
 }
 
 /// A client that has sent a job with these headers.
-fn client(s: &Scheduler, id: &str, headers: &str) -> Peer {
-    let mut peer = s.connect();
+fn client(scheduler: &Scheduler, id: &str, headers: &str) -> Connection {
+    let mut peer = scheduler.connect();
     peer.send(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: {id}\r\n{headers}Content-Length: 0\r\n\r\n"));
     peer
 }
 
-fn done(s: &Scheduler, id: &str) {
-    s.news(&format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"r"}}"#));
+fn done(scheduler: &Scheduler, id: &str) {
+    scheduler.send_job_status(&format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"r"}}"#));
 }
 
-fn status(peer: &mut Peer) -> String {
-    peer.message().0.split(' ').nth(1).unwrap().into()
+fn status(peer: &mut Connection) -> String {
+    peer.message().line.split(' ').nth(1).unwrap().into()
 }
 
 /// Waits until the figures show this.
-fn shows(s: &Scheduler, part: &str) {
-    let until = Instant::now() + HANG;
-    while !s.call("GET /stats").1.contains(part) {
-        assert!(Instant::now() < until, "{} never shows {part}", s.call("GET /stats").1);
+fn shows(scheduler: &Scheduler, part: &str) {
+    let until = Instant::now() + TEST_TIMEOUT;
+    while !scheduler.admin_request("GET /stats").body.contains(part) {
+        assert!(Instant::now() < until, "{} never shows {part}", scheduler.admin_request("GET /stats").body);
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The next job that the target gets: its id and its head. The target takes it.
-fn taken(s: &Scheduler, target: &mut Option<Peer>) -> (String, String) {
-    let target = s.next_request(target);
-    let (_, head, _) = target.message();
-    target.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+/// The next job that the worker gets: its id and its head. The worker takes it.
+fn taken(scheduler: &Scheduler, worker: &mut Option<Connection>) -> (String, String) {
+    let worker = scheduler.next_request(worker);
+    let Message { head, .. } = worker.message();
+    worker.send(ACCEPTED);
     let id = head.split("X-Trace-Id: ").nth(1).unwrap().split("\r\n").next().unwrap().to_string();
     (id, head)
 }
 
 #[test]
 fn a_job_goes_on_once_the_one_that_it_names_is_served() {
-    let (s, mut target) = (waiting("after", ""), None);
-    let mut second = client(&s, "t2", "X-Start-After: t1\r\n"); // it may come first
-    let mut third = client(&s, "t3", "X-Start-After: t1, t2;any\r\n");
-    shows(&s, r#""held":2"#);
-    let mut first = client(&s, "t1", "");
-    assert_eq!(taken(&s, &mut target).0, "t1");
-    shows(&s, r#""in_flight":3"#);
+    let (scheduler, mut worker) = (waiting("after", ""), None);
+    let mut second = client(&scheduler, "t2", "X-Start-After: t1\r\n"); // it may come first
+    let mut third = client(&scheduler, "t3", "X-Start-After: t1, t2;any\r\n");
+    shows(&scheduler, r#""held":2"#);
+    let mut first = client(&scheduler, "t1", "");
+    assert_eq!(taken(&scheduler, &mut worker).0, "t1");
+    shows(&scheduler, r#""in_flight":3"#);
     for (id, peer, next) in [("t1", &mut first, "t2"), ("t2", &mut second, "t3")] {
-        done(&s, id);
+        done(&scheduler, id);
         assert_eq!(status(peer), "200");
-        let (id, head) = taken(&s, &mut target);
+        let (id, head) = taken(&scheduler, &mut worker);
         assert!(id == next && !head.contains("X-Start"), "{head}");
     }
-    done(&s, "t3");
+    done(&scheduler, "t3");
     assert_eq!(status(&mut third), "200");
-    shows(&s, r#""held":0,"released":2"#);
+    shows(&scheduler, r#""held":0,"released":2"#);
     // What has ended is remembered.
-    let mut late = client(&s, "t4", "X-Start-After: t3\r\n");
-    assert_eq!(taken(&s, &mut target).0, "t4");
-    done(&s, "t4");
+    let mut late = client(&scheduler, "t4", "X-Start-After: t3\r\n");
+    assert_eq!(taken(&scheduler, &mut worker).0, "t4");
+    done(&scheduler, "t4");
     assert_eq!(status(&mut late), "200");
 }
 
 #[test]
 fn what_depends_on_a_refused_job_or_on_a_client_that_left_is_told_at_once() {
-    let mut s = waiting("doomed", r#"grace="30s""#);
-    let held = |s: &Scheduler, id: &str, after: &str| client(s, id, &format!("X-Start-After: {after}\r\n"));
-    let mut direct = held(&s, "t2", "t1");
-    let mut through = held(&s, "t3", "t2");
-    let mut any = held(&s, "t4", "t3;any");
-    shows(&s, r#""held":3"#);
-    s.target = TcpListener::bind("127.0.0.1:0").unwrap(); // the one of the list is closed now
-    assert_eq!(status(&mut client(&s, "t1", "")), "503");
+    let mut scheduler = waiting("doomed", r#"grace="30s""#);
+    let held = |scheduler: &Scheduler, id: &str, after: &str| {
+        client(scheduler, id, &format!("X-Start-After: {after}\r\n"))
+    };
+    let mut direct = held(&scheduler, "t2", "t1");
+    let mut through = held(&scheduler, "t3", "t2");
+    let mut any = held(&scheduler, "t4", "t3;any");
+    shows(&scheduler, r#""held":3"#);
+    scheduler.worker_listener = listen(); // the one of the list is closed now
+    assert_eq!(status(&mut client(&scheduler, "t1", "")), "503");
     assert_eq!((status(&mut direct), status(&mut through)), ("424".into(), "424".into()));
     // Any answer of t3 will do for t4: it goes on, and is refused in its turn.
     assert_eq!(status(&mut any), "503");
-    shows(&s, r#""released":1"#);
-    assert_eq!(status(&mut held(&s, "t5", "t4")), "424");
+    shows(&scheduler, r#""released":1"#);
+    assert_eq!(status(&mut held(&scheduler, "t5", "t4")), "424");
     // A client that leaves has no answer at all.
-    let left = client(&s, "t6", "X-Start-In: 50000m\r\n");
-    let (mut after, mut whatever) = (held(&s, "t7", "t6"), held(&s, "t8", "t6;any"));
-    shows(&s, r#""held":3"#);
-    left.0.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+    let left = client(&scheduler, "t6", "X-Start-In: 50000m\r\n");
+    let (mut after, mut whatever) = (held(&scheduler, "t7", "t6"), held(&scheduler, "t8", "t6;any"));
+    shows(&scheduler, r#""held":3"#);
+    left.reader.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     assert_eq!((status(&mut after), status(&mut whatever)), ("424".into(), "424".into()));
-    shows(&s, r#""held":0"#);
+    shows(&scheduler, r#""held":0"#);
 }
 
 #[test]
 fn what_cannot_be_held_has_its_status_at_once() {
-    let s = waiting("unheld", r#"grace="150ms" most-jobs="2""#);
+    let scheduler = waiting("unheld", r#"grace="150ms" most-jobs="2""#);
     let cases = [
         ("X-Start-After: a/b\r\n", "400"),
         ("X-Start-At: tomorrow\r\n", "400"),
@@ -113,79 +112,79 @@
         ("X-Start-After: unknown\r\n", "424"),
     ];
     for (headers, expected) in cases {
-        assert_eq!(status(&mut client(&s, "t1", headers)), expected, "{headers}");
+        assert_eq!(status(&mut client(&scheduler, "t1", headers)), expected, "{headers}");
     }
-    let one = client(&s, "a", "X-Start-In: 50000m\r\n");
-    shows(&s, r#""held":1"#);
-    assert_eq!(status(&mut client(&s, "a", "")), "409"); // an id that is held is taken
-    let _two = client(&s, "b", "X-Start-After: a\r\n");
-    shows(&s, r#""held":2"#);
-    assert_eq!(status(&mut client(&s, "c", "X-Start-In: 50000m\r\n")), "503");
-    // A circle: the one that closes it is told, and those behind it get theirs.
-    one.0.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
-    shows(&s, r#""held":0"#);
-    let mut first = client(&s, "x", "X-Start-After: y\r\n");
-    shows(&s, r#""held":1"#);
-    assert_eq!(status(&mut client(&s, "y", "X-Start-After: x\r\n")), "409");
+    let one = client(&scheduler, "a", "X-Start-In: 50000m\r\n");
+    shows(&scheduler, r#""held":1"#);
+    assert_eq!(status(&mut client(&scheduler, "a", "")), "409"); // an id that is held is taken
+    let _two = client(&scheduler, "b", "X-Start-After: a\r\n");
+    shows(&scheduler, r#""held":2"#);
+    assert_eq!(status(&mut client(&scheduler, "c", "X-Start-In: 50000m\r\n")), "503");
+    // A cycle: the job that closes it is answered at once, and so are those that depend on it.
+    one.reader.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
+    shows(&scheduler, r#""held":0"#);
+    let mut first = client(&scheduler, "x", "X-Start-After: y\r\n");
+    shows(&scheduler, r#""held":1"#);
+    assert_eq!(status(&mut client(&scheduler, "y", "X-Start-After: x\r\n")), "409");
     assert_eq!(status(&mut first), "424");
 }
 
 #[test]
 fn a_job_starts_no_earlier_than_its_time() {
-    let (s, mut target) = (waiting("time", ""), None);
+    let (scheduler, mut worker) = (waiting("time", ""), None);
     let begun = Instant::now();
-    let mut peer = client(&s, "t1", "X-Start-In: 300m\r\n");
-    assert_eq!(taken(&s, &mut target).0, "t1");
+    let mut peer = client(&scheduler, "t1", "X-Start-In: 300m\r\n");
+    assert_eq!(taken(&scheduler, &mut worker).0, "t1");
     assert!(begun.elapsed() >= Duration::from_millis(299));
-    done(&s, "t1");
+    done(&scheduler, "t1");
     assert_eq!(status(&mut peer), "200");
     // A time that is over is no wait.
-    let mut peer = client(&s, "t2", "X-Start-At: 2001-01-01T00:00:00Z\r\n");
-    assert_eq!(taken(&s, &mut target).0, "t2");
-    done(&s, "t2");
+    let mut peer = client(&scheduler, "t2", "X-Start-At: 2001-01-01T00:00:00Z\r\n");
+    assert_eq!(taken(&scheduler, &mut worker).0, "t2");
+    done(&scheduler, "t2");
     assert_eq!(status(&mut peer), "200");
 }
 
 #[test]
-fn without_a_setup_file_the_headers_mean_nothing_and_go_on_to_the_target() {
-    let (s, mut target) = (Scheduler::start("nowait"), None);
-    let mut peer = client(&s, "t1", "X-Start-After: nobody\r\nX-Start-In: never\r\n");
-    let (id, head) = taken(&s, &mut target);
+fn without_a_setup_file_the_headers_mean_nothing_and_go_on_to_the_worker() {
+    let (scheduler, mut worker) = (Scheduler::start("nowait"), None);
+    let mut peer = client(&scheduler, "t1", "X-Start-After: nobody\r\nX-Start-In: never\r\n");
+    let (id, head) = taken(&scheduler, &mut worker);
     assert!(id == "t1" && head.contains("X-Start-After: nobody\r\nX-Start-In: never\r\n"));
-    done(&s, "t1");
+    done(&scheduler, "t1");
     assert_eq!(status(&mut peer), "200");
-    assert!(!s.call("GET /stats").1.contains("held"));
+    assert!(!scheduler.admin_request("GET /stats").body.contains("held"));
 }
 
 #[test]
-fn on_the_way_out_what_is_held_is_refused_at_once_and_what_runs_goes_on() {
-    let (mut s, mut target) = (waiting("wayout", ""), None);
-    let mut runs = client(&s, "t1", "");
-    assert_eq!(taken(&s, &mut target).0, "t1");
-    let mut held: Vec<Peer> =
-        (2..10).map(|n| client(&s, &format!("t{n}"), "X-Start-After: t1\r\n")).collect();
-    shows(&s, r#""held":8"#);
-    s.signal("-TERM");
+fn on_shutdown_deferred_jobs_are_rejected_at_once_and_those_that_run_go_on() {
+    let (mut scheduler, mut worker) = (waiting("wayout", ""), None);
+    let mut runs = client(&scheduler, "t1", "");
+    assert_eq!(taken(&scheduler, &mut worker).0, "t1");
+    let mut held: Vec<Connection> =
+        (2..10).map(|n| client(&scheduler, &format!("t{n}"), "X-Start-After: t1\r\n")).collect();
+    shows(&scheduler, r#""held":8"#);
+    scheduler.signal("-TERM");
     held.iter_mut().for_each(|peer| assert_eq!(status(peer), "503"));
-    done(&s, "t1");
+    done(&scheduler, "t1");
     assert_eq!(status(&mut runs), "200");
-    assert!(s.process.wait().unwrap().success());
+    assert!(scheduler.process.wait().unwrap().success());
 }
 
 #[test]
 fn an_upgrade_takes_over_what_is_held_with_what_it_waits_for() {
     let setup = setup("upgrade-held", "<postusher><waiting/></postusher>");
-    let (mut old, mut target) = (Scheduler::upgradable_with("upgrade-held", 40, Some(setup)), None);
+    let (mut old, mut worker) = (Scheduler::upgradable_with_setup("upgrade-held", 40, Some(setup)), None);
     let mut ended = client(&old, "t0", "");
-    assert_eq!(taken(&old, &mut target).0, "t0");
+    assert_eq!(taken(&old, &mut worker).0, "t0");
     done(&old, "t0");
     assert_eq!(status(&mut ended), "200");
     let mut first = client(&old, "t1", "");
-    assert_eq!(taken(&old, &mut target).0, "t1");
+    assert_eq!(taken(&old, &mut worker).0, "t1");
     let mut second = client(&old, "t2", "X-Start-After: t1, t0\r\n");
     let mut timed = client(&old, "t3", "X-Start-In: 700m\r\n");
     shows(&old, r#""held":2"#);
-    let (new, _watches) = old.upgraded();
+    let (new, _watches) = old.upgrade();
     // Jobs that come to the new process may name those of the old one, and those that ended there.
     let mut third = client(&new, "t4", "X-Start-After: t1, t0\r\n");
     shows(&new, r#""held":1"#);
@@ -209,32 +208,32 @@
     shows(&new, r#""held":0,"released":3"#);
 }
 
-/// Guards against: a job that counts for nobody, or for somebody else, once it has been held or handed over.
+/// A job must not count for nobody, or for another customer, once it was deferred or has migrated.
 #[test]
 fn a_held_job_stays_its_customers_through_the_wait_and_through_an_upgrade() {
     let realms = r#""Realms": [{"Name": "acme", "QuotaPerS": 9}, {"Name": "zeta", "QuotaPerS": 9}], "#;
     let setup = setup("held-customer", "<postusher><waiting/></postusher>");
-    let mut old = Scheduler::upgradable_where("held-customer", 41, Some(setup), realms);
-    let one_each = |s: &Scheduler| {
+    let mut old = Scheduler::upgradable_with_settings("held-customer", 41, Some(setup), realms);
+    let one_each = |scheduler: &Scheduler| {
         for name in ["acme", "zeta"] {
-            shows(s, &format!(r#""{name}":{{"over_share":0,"served":1,"refused":0,"failed":0}}"#));
+            shows(scheduler, &format!(r#""{name}":{{"over_share":0,"served":1,"refused":0,"failed":0}}"#));
         }
     };
     let mut first = client(&old, "t1", "X-Customer: acme\r\n");
-    let mut target = None;
-    assert_eq!(taken(&old, &mut target).0, "t1");
+    let mut worker = None;
+    assert_eq!(taken(&old, &mut worker).0, "t1");
     let mut here = client(&old, "t2", "X-Customer: zeta\r\nX-Start-After: t1\r\n");
     shows(&old, r#""held":1"#);
     done(&old, "t1");
-    assert_eq!((status(&mut first), taken(&old, &mut target).0.as_str()), ("200".into(), "t2"));
+    assert_eq!((status(&mut first), taken(&old, &mut worker).0.as_str()), ("200".into(), "t2"));
     done(&old, "t2");
     assert_eq!(status(&mut here), "200");
     one_each(&old);
     let mut runs = client(&old, "t4", "X-Customer: acme\r\n");
-    assert_eq!(taken(&old, &mut target).0, "t4");
+    assert_eq!(taken(&old, &mut worker).0, "t4");
     let mut later = client(&old, "t3", "X-Customer: zeta\r\nX-Start-After: t4\r\n");
     shows(&old, r#""held":1"#);
-    let (new, _watches) = old.upgraded();
+    let (new, _watches) = old.upgrade();
     old.signal("-TERM");
     assert!(old.process.wait().unwrap().success());
     // What ran there and what was held there count here, each for its customer.
@@ -247,23 +246,23 @@
 
 #[test]
 fn sighup_takes_over_other_bounds_and_a_bad_setup_changes_nothing() {
-    let mut s = waiting("sighup", r#"most-jobs="1""#);
-    let _held = client(&s, "t1", "X-Start-In: 50000m\r\n");
-    shows(&s, r#""held":1"#);
-    assert_eq!(status(&mut client(&s, "t2", "X-Start-In: 50000m\r\n")), "503");
+    let mut scheduler = waiting("sighup", r#"most-jobs="1""#);
+    let _held = client(&scheduler, "t1", "X-Start-In: 50000m\r\n");
+    shows(&scheduler, r#""held":1"#);
+    assert_eq!(status(&mut client(&scheduler, "t2", "X-Start-In: 50000m\r\n")), "503");
     setup("sighup", "<postusher>\n<waiting most-jobs=\"many\"/></postusher>");
-    s.signal("-HUP");
-    s.logs("sighup.xml:2:21: most-jobs=\"many\" cannot be read");
-    assert_eq!(status(&mut client(&s, "t2", "X-Start-In: 50000m\r\n")), "503");
+    scheduler.signal("-HUP");
+    scheduler.wait_for_log("sighup.xml:2:21: most-jobs=\"many\" cannot be read");
+    assert_eq!(status(&mut client(&scheduler, "t2", "X-Start-In: 50000m\r\n")), "503");
     setup("sighup", "<postusher><waiting most-jobs=\"2\"/></postusher>");
-    s.signal("-HUP");
-    s.logs("configuration reloaded: discovery=");
-    let _second = client(&s, "t3", "X-Start-In: 50000m\r\n");
-    shows(&s, r#""held":2"#);
+    scheduler.signal("-HUP");
+    scheduler.wait_for_log("configuration reloaded: discovery=");
+    let _second = client(&scheduler, "t3", "X-Start-In: 50000m\r\n");
+    shows(&scheduler, r#""held":2"#);
     setup("sighup", "<postusher/>");
-    s.signal("-HUP");
-    s.logs("restart needed: changed=<waiting>");
-    shows(&s, r#""held":2"#);
+    scheduler.signal("-HUP");
+    scheduler.wait_for_log("restart needed: changed=<waiting>");
+    shows(&scheduler, r#""held":2"#);
 }
 
 #[test]
