--- a/crates/node/tests/serve/closes.rs
+++ b/crates/node/tests/serve/closes.rs
@@ -43,7 +43,7 @@
     scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"started"}"#);
     drop(client);
     assert_eq!(scheduler.next_request(&mut worker).message().line, "DELETE /jobs/t1 HTTP/1.1");
-    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    scheduler.finish_job("t1");
     worker.as_mut().unwrap().send("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
     in_flight(&scheduler, 0);
     // The id may come again.
--- a/crates/node/tests/serve/discovery.rs
+++ b/crates/node/tests/serve/discovery.rs
@@ -29,7 +29,8 @@
     scheduler.signal("-HUP");
     scheduler.wait_for_log("configuration reload failed: error=");
     let new = listen();
-    let (from, to) = (scheduler.discovery_listener.local_addr().unwrap(), new.local_addr().unwrap());
+    let from = scheduler.discovery_listener.local_addr().unwrap();
+    let to = new.local_addr().unwrap();
     std::fs::write(&path, good.replace(&from.to_string(), &to.to_string())).unwrap();
     scheduler.signal("-HUP");
     // The versions of another service mean nothing: the whole list comes first, also when the first call fails.
@@ -37,7 +38,7 @@
         assert_eq!(Connection::new(new.accept().unwrap().0).message().line, "GET /discovery/hosts HTTP/1.1");
     }
     assert!(old.reaches_end());
-    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
 }
 
@@ -72,26 +73,20 @@
     }
 }
 
-fn answers_up(scheduler: &Scheduler) -> bool {
-    let mut up = scheduler.connect();
-    up.send("GET /up HTTP/1.1\r\n\r\n");
-    up.message().line == "HTTP/1.1 200 OK"
-}
-
 /// The list that a process starts with may be of long ago, and what discovery has by then counts as notified.
 #[test]
 fn a_process_is_up_once_discovery_has_confirmed_its_list() {
     let scheduler = Scheduler::without_list("confirmed", 1);
-    assert!(!answers_up(&scheduler));
+    assert!(!scheduler.is_ready());
     let _watch = scheduler.confirm_list();
-    assert!(answers_up(&scheduler));
+    assert!(scheduler.is_ready());
 }
 
 /// Discovery may be down for longer than clients can do without this process.
 #[test]
 fn a_process_that_discovery_never_answers_is_up_all_the_same() {
     let scheduler = Scheduler::without_list("unconfirmed", 1);
-    while !answers_up(&scheduler) {}
+    while !scheduler.is_ready() {}
 }
 
 /// Hundreds of schedulers that start together spread their first calls; one with a job to place does not wait for its turn.
--- a/crates/node/tests/serve/golden.rs
+++ b/crates/node/tests/serve/golden.rs
@@ -37,7 +37,8 @@
 fn worker_requests(scheduler: &Scheduler) -> String {
     let mut client = Some(scheduler.connect());
     client.as_mut().unwrap().send_job("t1");
-    let (mut peers, mut by_method) = (Vec::<Connection>::new(), BTreeMap::new());
+    let mut peers = Vec::<Connection>::new();
+    let mut by_method = BTreeMap::new();
     scheduler.worker_listener.set_nonblocking(true).unwrap();
     let until = Instant::now() + TEST_TIMEOUT;
     while by_method.len() < 3 {
--- a/crates/node/tests/serve/harness.rs
+++ b/crates/node/tests/serve/harness.rs
@@ -267,6 +267,18 @@
         self.admin_request(line).status == "200"
     }
 
+    /// Whether the scheduler says that clients should come to it.
+    pub fn is_ready(&self) -> bool {
+        let mut client = self.connect();
+        client.send("GET /up HTTP/1.1\r\n\r\n");
+        client.message().line == "HTTP/1.1 200 OK"
+    }
+
+    /// Reports a job as served by its worker.
+    pub fn finish_job(&self, id: &str) {
+        self.send_job_status(&format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"r"}}"#));
+    }
+
     /// Sends a signal to the process that this test has started.
     pub fn signal(&self, signal: &str) {
         let id = self.process.id().to_string();
--- a/crates/node/tests/serve/main.rs
+++ b/crates/node/tests/serve/main.rs
@@ -26,7 +26,8 @@
 #[test]
 fn a_job_is_forwarded_and_its_result_served_and_connections_are_used_again() {
     let scheduler = Scheduler::start("served");
-    let (mut client, mut kept) = (scheduler.connect(), None);
+    let mut client = scheduler.connect();
+    let mut kept = None;
     let mut used = Vec::new();
     // A connection has to be quiet for a moment before it is used again.
     for id in (1..).map(|n| format!("t{n}")) {
@@ -83,7 +84,9 @@
 #[test]
 fn a_kept_connection_that_breaks_under_a_job_is_replaced_by_a_new_one() {
     let scheduler = Scheduler::start("stale");
-    let (mut client, mut kept, mut used) = (scheduler.connect(), None, Vec::new());
+    let mut client = scheduler.connect();
+    let mut kept = None;
+    let mut used = Vec::new();
     for id in (1..).map(|n| format!("t{n}")) {
         client.send_job(&id);
         let mut worker = scheduler.next_request(&mut kept);
@@ -136,7 +139,8 @@
     let worker_listener = scheduler.worker_listener.try_clone().unwrap();
     std::thread::spawn(move || {
         for stream in worker_listener.incoming().map_while(Result::ok) {
-            let (mut peer, took) = (Connection::new(stream), took.clone());
+            let mut peer = Connection::new(stream);
+            let took = took.clone();
             std::thread::spawn(move || {
                 while peer.reader.fill_buf().is_ok_and(|b| !b.is_empty()) {
                     peer.message();
@@ -176,10 +180,11 @@
     client.send_job("t1");
     let mut worker = scheduler.accept_worker_connection();
     worker.message();
-    let (served, flying) = (r#""served":{"render":1}"#, r#""attempts":1,"in_flight":1,"workers_known":1"#);
+    let served = r#""served":{"render":1}"#;
+    let flying = r#""attempts":1,"in_flight":1,"workers_known":1"#;
     assert!(scheduler.admin_request("GET /stats").body.contains(flying));
     worker.send(ACCEPTED);
-    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    scheduler.finish_job("t1");
     client.message();
     assert!(scheduler.admin_request("GET /stats").body.contains(served));
     scheduler.signal("-HUP");
@@ -197,7 +202,9 @@
 fn silent_and_endless_clients_are_closed_and_keep_nobody_waiting() {
     let scheduler = Scheduler::start("rude");
     let _watch = scheduler.confirm_list();
-    let (mut silent, mut half, mut endless) = (scheduler.connect(), scheduler.connect(), scheduler.connect());
+    let mut silent = scheduler.connect();
+    let mut half = scheduler.connect();
+    let mut endless = scheduler.connect();
     half.send("POST /render HTTP/1.1\r\nContent-Le");
     endless.send("nonsense\r\n\r\n");
     let mut flood = endless.reader.get_ref().try_clone().unwrap();
@@ -241,12 +248,8 @@
 fn an_operator_drain_sends_clients_away_step_by_step_and_is_undone() {
     let mut scheduler = Scheduler::start("drained-by-call");
     let _watch = scheduler.confirm_list();
-    let is_up = |scheduler: &Scheduler| {
-        let mut up = scheduler.connect();
-        up.send("GET /up HTTP/1.1\r\n\r\n");
-        up.message().line == "HTTP/1.1 200 OK"
-    };
-    let (mut idle, mut client) = (scheduler.connect(), scheduler.connect());
+    let mut idle = scheduler.connect();
+    let mut client = scheduler.connect();
     idle.send("GET /up HTTP/1.1\r\n\r\n");
     idle.message();
     client.send_job("t1");
@@ -256,7 +259,7 @@
     assert!(
         scheduler.admin_accepts("PUT /healthcheck/fail") && scheduler.admin_accepts("PUT /healthcheck/fail")
     );
-    assert!(!is_up(&scheduler) && !scheduler.admin_accepts("GET /healthcheck"));
+    assert!(!scheduler.is_ready() && !scheduler.admin_accepts("GET /healthcheck"));
     assert!(idle.reaches_end()); // in the end; what is under way goes on
     let mut late = scheduler.connect();
     late.send_job("t2");
@@ -266,7 +269,7 @@
             && head.contains("Connection: close\r\n")
             && late.reaches_end()
     );
-    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    scheduler.finish_job("t1");
     let Message { line, head, .. } = client.message();
     assert!(line == "HTTP/1.1 200 OK" && head.contains("Connection: close\r\n"));
     assert!(scheduler
@@ -275,7 +278,7 @@
         .contains(r#""served":{"render":1},"refused":{"render":1}"#));
     assert!(
         scheduler.admin_accepts("PUT /healthcheck/ok")
-            && is_up(&scheduler)
+            && scheduler.is_ready()
             && scheduler.admin_accepts("GET /healthcheck")
     );
     assert!(scheduler.process.try_wait().unwrap().is_none());
@@ -288,7 +291,8 @@
 fn sigterm_lets_work_end_before_the_program_does() {
     let mut scheduler = Scheduler::start("drained");
     let _watch = scheduler.confirm_list();
-    let (mut client, mut up) = (scheduler.connect(), scheduler.connect());
+    let mut client = scheduler.connect();
+    let mut up = scheduler.connect();
     up.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(up.message().line, "HTTP/1.1 200 OK");
     client.send_job("t1");
@@ -300,7 +304,7 @@
     up.send("GET /up HTTP/1.1\r\n\r\n");
     assert_eq!(up.message().line, "HTTP/1.1 503 Service Unavailable");
     assert!(up.reaches_end());
-    scheduler.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    scheduler.finish_job("t1");
     let Message { line, head, body } = client.message();
     assert_eq!((line.as_str(), body.as_str()), ("HTTP/1.1 200 OK", "r"));
     // For a while it may be that no other scheduler takes its clients: their connections stay open.
--- a/crates/node/tests/serve/members.rs
+++ b/crates/node/tests/serve/members.rs
@@ -61,7 +61,7 @@
     let mut worker = a.accept_worker_connection();
     worker.message();
     worker.send(ACCEPTED);
-    a.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    a.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     b.signal("-TERM");
     assert!(b.process.wait().unwrap().success());
--- a/crates/node/tests/serve/shutdown.rs
+++ b/crates/node/tests/serve/shutdown.rs
@@ -15,10 +15,6 @@
     (scheduler, client, worker, watch)
 }
 
-fn done(scheduler: &Scheduler, id: &str) {
-    scheduler.send_job_status(&format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"r"}}"#));
-}
-
 fn ends_well(mut scheduler: Scheduler) {
     assert!(scheduler.process.wait().unwrap().success());
 }
@@ -34,8 +30,8 @@
     let mut kept = Some(worker);
     assert!(scheduler.next_request(&mut kept).message().head.contains("X-Trace-Id: t2\r\n"));
     kept.as_mut().unwrap().send(ACCEPTED);
-    done(&scheduler, "t1");
-    done(&scheduler, "t2");
+    scheduler.finish_job("t1");
+    scheduler.finish_job("t2");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     assert_eq!(half.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
@@ -46,7 +42,7 @@
     let (mut scheduler, mut client, _worker, _watch) = at_work("half-read-at-end");
     scheduler.signal("-TERM");
     scheduler.wait_for_log("shutdown started: unanswered_jobs=1");
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     // The connection is open still; what begins on it now has an answer, whole or not.
     client.send("POST /render HTTP/1.1\r\nX-Trace-Id: t2\r\nContent-Le");
@@ -81,12 +77,12 @@
     client.send_job("t2");
     scheduler.signal("-TERM");
     scheduler.wait_for_log("shutdown started: unanswered_jobs=1");
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     let mut kept = Some(worker);
     assert!(scheduler.next_request(&mut kept).message().head.contains("X-Trace-Id: t2\r\n"));
     kept.as_mut().unwrap().send(ACCEPTED);
-    done(&scheduler, "t2");
+    scheduler.finish_job("t2");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
 }
@@ -99,7 +95,7 @@
     scheduler.signal("-TERM");
     scheduler.signal("-CONT");
     scheduler.wait_for_log("shutdown started: unanswered_jobs=1");
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
 }
@@ -110,7 +106,7 @@
     assert!(scheduler.admin_accepts("PUT /healthcheck/fail"));
     scheduler.signal("-TERM");
     scheduler.wait_for_log("shutdown started: unanswered_jobs=1");
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
 }
@@ -120,7 +116,8 @@
     let mut scheduler = Scheduler::without_list("term-before-list", 1);
     scheduler.signal("-TERM");
     scheduler.wait_for_log("shutdown started: unanswered_jobs=0");
-    let (mut client, mut late) = (scheduler.connect(), scheduler.connect());
+    let mut client = scheduler.connect();
+    let mut late = scheduler.connect();
     client.send_job("t1");
     in_flight(&scheduler, 1);
     // Nothing goes out by the list of before the start: the job waits for discovery.
@@ -132,13 +129,13 @@
     worker.message();
     worker.send(ACCEPTED);
     in_flight(&scheduler, 1);
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     late.send_job("t2");
     let mut kept = Some(worker);
     assert!(scheduler.next_request(&mut kept).message().head.contains("X-Trace-Id: t2\r\n"));
     kept.as_mut().unwrap().send(ACCEPTED);
-    done(&scheduler, "t2");
+    scheduler.finish_job("t2");
     assert_eq!(late.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
 }
@@ -170,8 +167,8 @@
     let mut kept = Some(worker);
     assert!(scheduler.next_request(&mut kept).message().head.contains("X-Trace-Id: t2\r\n"));
     kept.as_mut().unwrap().send(ACCEPTED);
-    done(&scheduler, "t2");
-    done(&scheduler, "t1");
+    scheduler.finish_job("t2");
+    scheduler.finish_job("t1");
     assert_eq!(idle.message().line, "HTTP/1.1 200 OK");
     assert_eq!(client.message().line, "HTTP/1.1 200 OK");
     ends_well(scheduler);
--- a/crates/node/tests/serve/upgrades.rs
+++ b/crates/node/tests/serve/upgrades.rs
@@ -26,7 +26,7 @@
     let mut twice = new.connect();
     twice.send_job("t1");
     assert_eq!(twice.message().line, "HTTP/1.1 409 Conflict");
-    new.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    new.finish_job("t1");
     let Message { line, head, .. } = client.message();
     assert!(line == "HTTP/1.1 200 OK" && head.contains("Connection: close\r\n") && client.reaches_end());
     // What is said to one is said to both.
@@ -45,7 +45,8 @@
 #[test]
 fn on_shutdown_clients_migrate_to_the_successor_with_their_connections_and_jobs() {
     let mut old = Scheduler::upgradable("moved", 3);
-    let (mut idle, mut client) = (old.connect(), old.connect());
+    let mut idle = old.connect();
+    let mut client = old.connect();
     idle.send("GET /up HTTP/1.1\r\n\r\n");
     idle.message();
     client.send_job("t1");
@@ -58,7 +59,7 @@
     // It ends although the job goes on, and ends neither connection with it.
     assert!(old.process.wait().unwrap().success());
     assert!(new.admin_request("GET /stats").body.contains(r#""in_flight":1"#));
-    new.send_job_status(r#"{"id":"t1","from":"s-1","state":"done","result":"r"}"#);
+    new.finish_job("t1");
     let Message { line, head, body } = client.message();
     assert_eq!((line.as_str(), body.as_str()), ("HTTP/1.1 200 OK", "r"));
     assert!(!head.contains("Connection: close\r\n"));
@@ -92,29 +93,24 @@
 #[test]
 fn whichever_process_of_an_upgrade_dies_the_other_goes_on() {
     let mut old = Scheduler::upgradable("upgrade-broken", 2);
-    let is_up = |scheduler: &Scheduler| {
-        let mut up = scheduler.connect();
-        up.send("GET /up HTTP/1.1\r\n\r\n");
-        up.message().line == "HTTP/1.1 200 OK"
-    };
     let (mut new, watches) = old.upgrade();
-    assert!(is_up(&old));
+    assert!(old.is_ready());
     new.process.kill().unwrap();
     old.wait_for_log("upgrade peer exited");
-    assert!(is_up(&old) && old.admin_accepts("GET /healthcheck"));
+    assert!(old.is_ready() && old.admin_accepts("GET /healthcheck"));
     drop((new, watches));
     // The old one dies before the next has had a list: that one takes clients all the same, once it has.
     let mut new = old.start_successor();
     old.process.kill().unwrap();
     new.wait_for_log("upgrade peer exited");
     let _watch = new.send_complete_list();
-    assert!(is_up(&new) && new.admin_accepts("GET /healthcheck"));
+    assert!(new.is_ready() && new.admin_accepts("GET /healthcheck"));
     // What an ended process has left at the meeting place stops no start.
     new.process.kill().unwrap();
     new.process.wait().unwrap();
     let last = new.start_successor();
     let _watch = last.confirm_list();
-    assert!(is_up(&last));
+    assert!(last.is_ready());
 }
 
 /// Classes, kinds and customers are known by numbers, which mean others where the settings differ.
@@ -169,7 +165,8 @@
     let first = Scheduler::start("customer-one");
     let other = |text: String| text.replace(r#""Name": "render""#, r#""Name": "price""#);
     let second = Scheduler::with_config("customer-two", 1, other);
-    let (mut one, mut two) = (first.connect(), second.connect());
+    let mut one = first.connect();
+    let mut two = second.connect();
     one.send_job("t1");
     two.send_job("t1");
     assert_eq!(two.message().line, "HTTP/1.1 404 Not Found");
--- a/crates/node/tests/serve/waiting.rs
+++ b/crates/node/tests/serve/waiting.rs
@@ -23,10 +23,6 @@
     peer
 }
 
-fn done(scheduler: &Scheduler, id: &str) {
-    scheduler.send_job_status(&format!(r#"{{"id":"{id}","from":"s-1","state":"done","result":"r"}}"#));
-}
-
 fn status(peer: &mut Connection) -> String {
     peer.message().line.split(' ').nth(1).unwrap().into()
 }
@@ -51,7 +47,8 @@
 
 #[test]
 fn a_job_goes_on_once_the_one_that_it_names_is_served() {
-    let (scheduler, mut worker) = (waiting("after", ""), None);
+    let scheduler = waiting("after", "");
+    let mut worker = None;
     let mut second = client(&scheduler, "t2", "X-Start-After: t1\r\n"); // it may come first
     let mut third = client(&scheduler, "t3", "X-Start-After: t1, t2;any\r\n");
     shows(&scheduler, r#""held":2"#);
@@ -59,18 +56,18 @@
     assert_eq!(taken(&scheduler, &mut worker).0, "t1");
     shows(&scheduler, r#""in_flight":3"#);
     for (id, peer, next) in [("t1", &mut first, "t2"), ("t2", &mut second, "t3")] {
-        done(&scheduler, id);
+        scheduler.finish_job(id);
         assert_eq!(status(peer), "200");
         let (id, head) = taken(&scheduler, &mut worker);
         assert!(id == next && !head.contains("X-Start"), "{head}");
     }
-    done(&scheduler, "t3");
+    scheduler.finish_job("t3");
     assert_eq!(status(&mut third), "200");
     shows(&scheduler, r#""held":0,"released":2"#);
     // What has ended is remembered.
     let mut late = client(&scheduler, "t4", "X-Start-After: t3\r\n");
     assert_eq!(taken(&scheduler, &mut worker).0, "t4");
-    done(&scheduler, "t4");
+    scheduler.finish_job("t4");
     assert_eq!(status(&mut late), "200");
 }
 
@@ -93,7 +90,8 @@
     assert_eq!(status(&mut held(&scheduler, "t5", "t4")), "424");
     // A client that leaves has no answer at all.
     let left = client(&scheduler, "t6", "X-Start-In: 50000m\r\n");
-    let (mut after, mut whatever) = (held(&scheduler, "t7", "t6"), held(&scheduler, "t8", "t6;any"));
+    let mut after = held(&scheduler, "t7", "t6");
+    let mut whatever = held(&scheduler, "t8", "t6;any");
     shows(&scheduler, r#""held":3"#);
     left.reader.get_ref().shutdown(std::net::Shutdown::Both).unwrap();
     assert_eq!((status(&mut after), status(&mut whatever)), ("424".into(), "424".into()));
@@ -131,34 +129,37 @@
 
 #[test]
 fn a_job_starts_no_earlier_than_its_time() {
-    let (scheduler, mut worker) = (waiting("time", ""), None);
+    let scheduler = waiting("time", "");
+    let mut worker = None;
     let begun = Instant::now();
     let mut peer = client(&scheduler, "t1", "X-Start-In: 300m\r\n");
     assert_eq!(taken(&scheduler, &mut worker).0, "t1");
     assert!(begun.elapsed() >= Duration::from_millis(299));
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(status(&mut peer), "200");
     // A time that is over is no wait.
     let mut peer = client(&scheduler, "t2", "X-Start-At: 2001-01-01T00:00:00Z\r\n");
     assert_eq!(taken(&scheduler, &mut worker).0, "t2");
-    done(&scheduler, "t2");
+    scheduler.finish_job("t2");
     assert_eq!(status(&mut peer), "200");
 }
 
 #[test]
 fn without_a_setup_file_the_headers_mean_nothing_and_go_on_to_the_worker() {
-    let (scheduler, mut worker) = (Scheduler::start("nowait"), None);
+    let scheduler = Scheduler::start("nowait");
+    let mut worker = None;
     let mut peer = client(&scheduler, "t1", "X-Start-After: nobody\r\nX-Start-In: never\r\n");
     let (id, head) = taken(&scheduler, &mut worker);
     assert!(id == "t1" && head.contains("X-Start-After: nobody\r\nX-Start-In: never\r\n"));
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(status(&mut peer), "200");
     assert!(!scheduler.admin_request("GET /stats").body.contains("held"));
 }
 
 #[test]
 fn on_shutdown_deferred_jobs_are_rejected_at_once_and_those_that_run_go_on() {
-    let (mut scheduler, mut worker) = (waiting("wayout", ""), None);
+    let mut scheduler = waiting("wayout", "");
+    let mut worker = None;
     let mut runs = client(&scheduler, "t1", "");
     assert_eq!(taken(&scheduler, &mut worker).0, "t1");
     let mut held: Vec<Connection> =
@@ -166,7 +167,7 @@
     shows(&scheduler, r#""held":8"#);
     scheduler.signal("-TERM");
     held.iter_mut().for_each(|peer| assert_eq!(status(peer), "503"));
-    done(&scheduler, "t1");
+    scheduler.finish_job("t1");
     assert_eq!(status(&mut runs), "200");
     assert!(scheduler.process.wait().unwrap().success());
 }
@@ -174,10 +175,11 @@
 #[test]
 fn an_upgrade_takes_over_what_is_held_with_what_it_waits_for() {
     let setup = setup("upgrade-held", "<postusher><waiting/></postusher>");
-    let (mut old, mut worker) = (Scheduler::upgradable_with_setup("upgrade-held", 40, Some(setup)), None);
+    let mut old = Scheduler::upgradable_with_setup("upgrade-held", 40, Some(setup));
+    let mut worker = None;
     let mut ended = client(&old, "t0", "");
     assert_eq!(taken(&old, &mut worker).0, "t0");
-    done(&old, "t0");
+    old.finish_job("t0");
     assert_eq!(status(&mut ended), "200");
     let mut first = client(&old, "t1", "");
     assert_eq!(taken(&old, &mut worker).0, "t1");
@@ -191,13 +193,13 @@
     old.signal("-TERM");
     assert!(old.process.wait().unwrap().success());
     shows(&new, r#""held":"#);
-    done(&new, "t1");
+    new.finish_job("t1");
     assert_eq!(status(&mut first), "200");
     let mut ids: Vec<String> = Vec::new();
     for _ in 0..3 {
         // Two go on at once, each on a connection of its own.
         let (id, _) = taken(&new, &mut None);
-        done(&new, &id);
+        new.finish_job(&id);
         ids.push(id);
     }
     ids.sort();
@@ -224,9 +226,9 @@
     assert_eq!(taken(&old, &mut worker).0, "t1");
     let mut here = client(&old, "t2", "X-Customer: zeta\r\nX-Start-After: t1\r\n");
     shows(&old, r#""held":1"#);
-    done(&old, "t1");
+    old.finish_job("t1");
     assert_eq!((status(&mut first), taken(&old, &mut worker).0.as_str()), ("200".into(), "t2"));
-    done(&old, "t2");
+    old.finish_job("t2");
     assert_eq!(status(&mut here), "200");
     one_each(&old);
     let mut runs = client(&old, "t4", "X-Customer: acme\r\n");
@@ -237,9 +239,9 @@
     old.signal("-TERM");
     assert!(old.process.wait().unwrap().success());
     // What ran there and what was held there count here, each for its customer.
-    done(&new, "t4");
+    new.finish_job("t4");
     assert_eq!((status(&mut runs), taken(&new, &mut None).0.as_str()), ("200".into(), "t3"));
-    done(&new, "t3");
+    new.finish_job("t3");
     assert_eq!(status(&mut later), "200");
     one_each(&new);
 }
