--- a/crates/node/src/direct/event_loop.rs
+++ b/crates/node/src/direct/event_loop.rs
@@ -5,7 +5,7 @@
 use super::service::{Command, RequestId, Service};
 use crate::clock::{Clock, Millis, Timers};
 use crate::connection_id::ConnectionId;
-use crate::net::{self, Sockets};
+use crate::net::{self, ConnectionLimit, Sockets, MAX_EVENTS, READ_BUFFER_BYTES};
 use connection::Role;
 use exchange::Exchange;
 use idle_upstreams::IdleUpstreams;
@@ -33,14 +33,8 @@
 const ADMIN_LISTENER: Token = Token(usize::MAX - 2);
 /// After SIGTERM, requests are waited for no longer than this.
 const SHUTDOWN_TIMEOUT: Millis = 30_000.0;
-/// The loop takes a turn at least this often.
-const MAX_SLEEP: Millis = 1_000.0;
 /// Descriptors beside connections.
 const OWN_DESCRIPTORS: usize = 16;
-/// Events that one poll brings at most.
-const MAX_EVENTS: usize = 1_024;
-/// Bytes that one read brings at most.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Rounds of decisions in a turn. Commands may bring events at once, such as a connect that fails; what is left waits
 /// for the next turn.
 const DECISION_ROUNDS: usize = 8;
@@ -67,10 +61,10 @@
     service: Service,
     exchanges: HashMap<RequestId, Exchange>,
     sockets: Sockets<Role>,
-    downstreams: usize,
-    max_downstreams: usize,
-    upstreams: usize,
-    max_upstreams: usize,
+    /// Connections of clients and operators.
+    downstreams: ConnectionLimit,
+    /// Connections to workers.
+    upstreams: ConnectionLimit,
     idle_upstreams: IdleUpstreams,
     timers: Timers<Timer>,
     /// Connections to drive in this turn, besides those that are ready.
@@ -124,10 +118,8 @@
             service,
             exchanges: HashMap::new(),
             sockets: Sockets::new(),
-            downstreams: 0,
-            max_downstreams: connections / 2,
-            upstreams: 0,
-            max_upstreams: connections - connections / 2,
+            downstreams: ConnectionLimit::new(connections / 2),
+            upstreams: ConnectionLimit::new(connections - connections / 2),
             idle_upstreams: IdleUpstreams::default(),
             timers: Timers::new(),
             to_drive: Vec::new(),
@@ -184,8 +176,7 @@
         }
         let now = self.clock.now();
         let wakes = [self.service.next_due(), self.timers.next()];
-        let next = wakes.into_iter().flatten().fold(now + MAX_SLEEP, f64::min);
-        net::wait(&mut self.poll, events, next - now)
+        net::wait_until(&mut self.poll, events, now, &wakes)
     }
 
     fn handle_event(&mut self, token: Token) {
--- a/crates/node/src/direct/event_loop/attempts.rs
+++ b/crates/node/src/direct/event_loop/attempts.rs
@@ -66,11 +66,11 @@
         if let Some(id) = self.idle_upstreams.take(place) {
             return Ok(id);
         }
-        if self.upstreams >= self.max_upstreams && !self.close_idle_upstream() {
+        if self.upstreams.is_reached() && !self.close_idle_upstream() {
             return Err(AttemptResult::NotSent);
         }
         let role = Role::Upstream(Upstream::new(place));
-        let added = TcpStream::connect(address).and_then(|stream| self.add(stream, role, true));
+        let added = TcpStream::connect(address).and_then(|stream| self.add(stream, role));
         added.map_err(|e| {
             log::warn!("connect failed: address={address} error={e}");
             AttemptResult::ConnectFailed
--- a/crates/node/src/direct/event_loop/connections.rs
+++ b/crates/node/src/direct/event_loop/connections.rs
@@ -5,14 +5,12 @@
 use crate::clock::Millis;
 use crate::connection_id::ConnectionId;
 use crate::direct::service::RequestState;
-use crate::net::{self, Accepted};
+use crate::net::{self, Accepted, ACCEPT_BUDGET};
 use mio::net::TcpStream;
 use postusher_decision::AttemptResult;
 use postusher_direct::Wrong;
 use std::io;
 
-/// Connections accepted in one turn.
-const ACCEPT_BUDGET: usize = 64;
 /// The head of a request must be whole within this time, from the connection's start or from its first byte.
 pub(super) const REQUEST_HEAD_TIMEOUT: Millis = 10_000.0;
 
@@ -21,7 +19,7 @@
     pub(super) fn accept_downstreams(&mut self) {
         for _ in 0..ACCEPT_BUDGET {
             // Those beyond the limit wait in the system's queue until a connection closes.
-            if self.downstreams >= self.max_downstreams || self.is_shutting_down() {
+            if self.downstreams.is_reached() || self.is_shutting_down() {
                 self.may_accept = false;
                 return;
             }
@@ -51,7 +49,7 @@
 
     fn add_downstream(&mut self, stream: TcpStream, downstream: Downstream) {
         let deadline = self.clock.now() + REQUEST_HEAD_TIMEOUT;
-        match self.add(stream, Role::Downstream(downstream), false) {
+        match self.add(stream, Role::Downstream(downstream)) {
             Ok(id) => {
                 self.set_deadline(id, deadline);
                 self.drive(id);
@@ -60,23 +58,18 @@
         }
     }
 
-    /// Takes on a connection; it is looked at when it is ready.
+    /// Takes on a connection; it is looked at when it is ready. One to a worker is connecting still.
     ///
     /// # Errors
     /// It cannot be polled; it is closed then.
-    pub(super) fn add(
-        &mut self,
-        stream: TcpStream,
-        role: Role,
-        is_connecting: bool,
-    ) -> io::Result<ConnectionId> {
+    pub(super) fn add(&mut self, stream: TcpStream, role: Role) -> io::Result<ConnectionId> {
         let _ = stream.set_nodelay(true); // without it there is a delay at worst
-        let is_downstream = matches!(role, Role::Downstream(_));
-        let id = self.sockets.insert(self.poll.registry(), stream, role, is_connecting)?;
-        if is_downstream {
-            self.downstreams += 1;
+        let is_upstream = matches!(role, Role::Upstream(_));
+        let id = self.sockets.insert(self.poll.registry(), stream, role, is_upstream)?;
+        if is_upstream {
+            self.upstreams.open += 1;
         } else {
-            self.upstreams += 1;
+            self.downstreams.open += 1;
         }
         Ok(id)
     }
@@ -117,11 +110,11 @@
         let Some(socket) = self.sockets.remove(self.poll.registry(), id) else { return };
         match socket.role {
             Role::Downstream(_) => {
-                self.downstreams -= 1;
+                self.downstreams.open -= 1;
                 self.may_accept |= !self.is_shutting_down();
             }
             Role::Upstream(upstream) => {
-                self.upstreams -= 1;
+                self.upstreams.open -= 1;
                 self.idle_upstreams.remove(upstream.place, id);
             }
         }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -8,7 +8,7 @@
 use crate::drain::Drain;
 use crate::endpoint_list::EndpointList;
 use crate::http::RequestLine;
-use crate::net::{self, Sockets};
+use crate::net::{self, Sockets, MAX_EVENTS, READ_BUFFER_BYTES};
 use crate::reload::Reload;
 use crate::upgrade_protocol::{self, JobEnd, Message};
 use crate::upstream::{Pool, Task};
@@ -52,16 +52,10 @@
 const UPGRADE_SOCKET: Token = Token(usize::MAX - 4);
 const DATAGRAMS: Token = Token(usize::MAX - 5);
 const EXCHANGES: Token = Token(usize::MAX - 6);
-/// The loop takes a turn at least this often.
-const MAX_SLEEP: Millis = 1_000.0;
 /// Near the end of a drain, connections that have fallen idle are closed this often.
 const IDLE_CLOSE_INTERVAL: Millis = 20.0;
 /// Between two lines of counters in the log.
 const COUNTERS_INTERVAL: Millis = 60_000.0;
-/// Events that one poll brings at most.
-const MAX_EVENTS: usize = 1_024;
-/// Bytes that one read brings at most.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Rounds of decisions in a turn. Commands may bring events at once, such as a connect that fails; a few rounds settle
 /// these, and what is left waits for the next turn.
 const DECISION_ROUNDS: usize = 4;
@@ -214,8 +208,7 @@
             self.members.as_ref().and_then(Membership::next_wake),
             self.drain.shutdown_deadline().filter(|deadline| now < *deadline),
         ];
-        let next = wakes.into_iter().flatten().fold(now + MAX_SLEEP, f64::min);
-        net::wait(&mut self.poll, events, next - now)
+        net::wait_until(&mut self.poll, events, now, &wakes)
     }
 
     /// Takes in all that is ready; nothing is decided yet.
--- a/crates/node/src/event_loop/accept.rs
+++ b/crates/node/src/event_loop/accept.rs
@@ -3,11 +3,9 @@
 use super::{EventLoop, Role};
 use crate::clock::Millis;
 use crate::downstream;
-use crate::net::{self, Accepted};
+use crate::net::{self, Accepted, ACCEPT_BUDGET};
 use mio::net::TcpStream;
 
-/// Connections accepted in one turn, so that a flood of them does not keep those at work waiting.
-const ACCEPT_BUDGET: usize = 64;
 /// After a failed accept, or with no descriptor left, the listener rests so long.
 const ACCEPT_BACKOFF: Millis = 20.0;
 
--- a/crates/node/src/event_loop/descriptor_passing.rs
+++ b/crates/node/src/event_loop/descriptor_passing.rs
@@ -1,6 +1,7 @@
 //! Descriptors that pass between the two processes of an upgrade, and where a process's listener comes from.
 
 use crate::clock::{Clock, Millis};
+use crate::net::READ_BUFFER_BYTES;
 use crate::upgrade_protocol::{Link, Message, SchedulerState};
 use mio::net::UnixStream;
 use rustix::net::{
@@ -21,8 +22,6 @@
 const STATE_TIMEOUT: Millis = 1_000.0;
 /// Connections that may wait at the clients' listener: what the system gives at most.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// Bytes that are read of the predecessor's state at a time.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Sends bytes and a descriptor along with them; says how many bytes went out, one at least.
 ///
--- a/crates/node/src/event_loop/limits.rs
+++ b/crates/node/src/event_loop/limits.rs
@@ -1,6 +1,7 @@
 //! How many connections a process may have, within the descriptors of its scheduler.
 
 use crate::clock::Millis;
+use crate::net::ConnectionLimit;
 
 /// Descriptors beside the connections of clients and workers: standard streams, poll, listener, signals, discovery,
 /// the other process of an upgrade, and room for what libraries open.
@@ -15,25 +16,6 @@
 /// Between two warnings of a shortage, in milliseconds.
 const WARNING_INTERVAL: Millis = 10_000.0;
 
-/// Open connections of one direction, and how many there may be.
-pub(super) struct ConnectionLimit {
-    /// Those that are open.
-    pub(super) open: usize,
-    max: usize,
-}
-
-impl ConnectionLimit {
-    /// No further connection may be opened.
-    pub(super) fn is_reached(&self) -> bool {
-        self.open >= self.max
-    }
-
-    /// There are more than there may be, as the limit was lowered.
-    pub(super) fn is_exceeded(&self) -> bool {
-        self.open > self.max
-    }
-}
-
 /// The limits of a process.
 pub(super) struct ConnectionLimits {
     /// Descriptors of the scheduler, which the two processes of an upgrade share.
@@ -50,8 +32,8 @@
     pub(super) fn new(descriptors: usize, reserved: usize, now: Millis) -> Self {
         let mut limits = ConnectionLimits {
             descriptors,
-            downstream: ConnectionLimit { open: 0, max: 0 },
-            upstream: ConnectionLimit { open: 0, max: 0 },
+            downstream: ConnectionLimit::new(0),
+            upstream: ConnectionLimit::new(0),
             next_warning_at: now,
         };
         limits.divide(1, reserved);
--- a/crates/node/src/event_loop/upgrade.rs
+++ b/crates/node/src/event_loop/upgrade.rs
@@ -6,7 +6,7 @@
 use super::{membership, EventLoop, CLIENT_LISTENER, UPGRADE_PEER, UPGRADE_SOCKET};
 use crate::admin::AdminRequest;
 use crate::job_status::JobStatusUpdate;
-use crate::net::{self, WriteResult};
+use crate::net::{self, WriteResult, READ_BUFFER_BYTES};
 use crate::upgrade_protocol::{JobEnd, LearnedSnapshot, Link, Message, SchedulerState};
 use mio::net::{UnixListener, UnixStream};
 use mio::Interest;
@@ -16,9 +16,6 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::path::{Path, PathBuf};
 
-/// Bytes that are read from the other process at a time.
-const READ_BUFFER_BYTES: usize = 64 * 1024;
-
 /// The other process: this one's successor or predecessor.
 pub(super) struct Peer {
     pub(super) stream: UnixStream,
