--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -176,7 +176,7 @@
         }
         self.log_counters("at the end");
         match self.members.as_mut().and_then(|members| members.taken.take()) {
-            Some(why) => Err(io::Error::other(why)),
+            Some(why) => Err(io::Error::other(why.to_string())),
             None => Ok(()),
         }
     }
