--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,10 +1,10 @@
-//! Stand-in clients: open-loop, so that a slow scheduler gets no less to do; they keep their connections and read on
-//! after each answer for what should not be there.
+//! Stand-in clients: open-loop, so that a slow scheduler gets no less to do. They keep their connections, and read on
+//! after each answer for bytes that should not be there.
 
 use crate::journal::{Journal, Observation};
 use crate::plan::{Job, Plan};
 use crate::scenario::{Effect, Scenario};
-use crate::wire::{self, Wire};
+use crate::wire::{self, Message, Wire};
 use crate::workers::result_of;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -12,10 +12,20 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-/// After its time is over a client listens on for so long, to tell a late answer from none, in milliseconds.
-const LISTENS_ON: f64 = 200.0;
-/// Connections of all clients together, at most.
-const MOST_CONNECTIONS: usize = 20_000;
+/// How long a client listens after its time is over, to tell a late answer from none, in milliseconds.
+const LISTENS_ON_MS: f64 = 200.0;
+/// A kept connection that ends within this time after a request had ended before it, in milliseconds.
+const HAD_ENDED_WITHIN_MS: f64 = 50.0;
+/// The most connections of all clients together.
+const MAX_CONNECTIONS: usize = 20_000;
+
+/// How sending a request on a connection went.
+enum Exchange {
+    /// The end of the job is noted.
+    Noted,
+    /// The scheduler had closed the connection before the request.
+    ConnectionHadEnded,
+}
 
 /// All clients of one run.
 pub struct Clients {
@@ -27,11 +37,11 @@
 }
 
 impl Clients {
-    /// Clients of these schedulers.
+    /// Clients of the schedulers at these addresses.
     pub fn new(scenario: &Scenario, schedulers: Vec<SocketAddr>, journal: Journal) -> Arc<Clients> {
         let idle = schedulers.iter().map(|_| Mutex::new(Vec::new())).collect();
         let classes = scenario.class.iter().map(|c| (c.name.clone(), c.effect)).collect();
-        let room = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+        let room = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         Arc::new(Clients { schedulers, idle, classes, journal, room })
     }
 
@@ -42,7 +52,7 @@
         }
     }
 
-    /// Brings all jobs of a plan at their times; ends when the last has ended.
+    /// Submits all jobs of a plan at their times; ends with the last job.
     pub async fn run(self: Arc<Clients>, plan: Arc<Plan>) {
         let mut all = tokio::task::JoinSet::new();
         for n in 0..plan.jobs.len() {
@@ -51,79 +61,90 @@
             let (clients, plan) = (self.clone(), plan.clone());
             all.spawn(async move {
                 let Ok(_room) = clients.room.clone().acquire_owned().await else { return };
-                clients.bring(&plan.jobs[n]).await;
+                clients.submit(&plan.jobs[n]).await;
             });
             while all.try_join_next().is_some() {}
         }
         while all.join_next().await.is_some() {}
     }
 
-    async fn bring(&self, job: &Job) {
-        let (id, scheduler) = (|| job.id.clone(), job.home);
-        let (mut wire, kept) = match self.idle(scheduler).pop() {
-            Some(wire) => (Some(wire), true),
-            None => (None, false),
-        };
+    /// Submits a job and notes how it ends.
+    async fn submit(&self, job: &Job) {
+        let kept = self.idle(job.home).pop();
+        let is_kept = kept.is_some();
         let request = self.request(job);
-        // A connection that the scheduler has closed between requests is no fault: once more on a new one.
-        for again in [kept, false] {
-            if wire.is_none() {
-                match TcpStream::connect(self.schedulers[scheduler]).await {
-                    Ok(stream) => wire = Some(Wire::new(stream)),
-                    Err(_) => {
-                        let unheard = kept && !again;
-                        return self.journal.write(Observation::Broken { job: id(), scheduler, unheard });
-                    }
-                }
+        if let Some(wire) = kept {
+            match self.exchange(job, &request, wire, true).await {
+                Exchange::Noted => return,
+                // A connection that the scheduler has closed between requests is no fault: once more on a new one.
+                Exchange::ConnectionHadEnded => {}
             }
-            let Some(mut w) = wire.take() else { return };
-            if w.send(&request).await.is_err() {
-                if again {
-                    continue;
-                }
-                return self.journal.write(Observation::Broken { job: id(), scheduler, unheard: false });
+        }
+        match TcpStream::connect(self.schedulers[job.home]).await {
+            Ok(stream) => {
+                self.exchange(job, &request, Wire::new(stream), false).await;
             }
-            let sent = self.journal.now();
-            self.journal.write(Observation::Sent { job: id() });
-            let limit = job.leaves.unwrap_or(job.patience + LISTENS_ON);
-            let answer = tokio::time::timeout(Duration::from_secs_f64(limit / 1e3), w.message()).await;
-            match answer {
-                Err(_) if job.leaves.is_some() => return self.journal.write(Observation::Left { job: id() }),
-                Err(_) => return self.journal.write(Observation::Unanswered { job: id() }),
-                Ok(Ok(Some(message))) => {
-                    let status = message.status();
-                    let own = message.body == result_of(&job.id).as_bytes();
-                    let retry_after = message.header("Retry-After").and_then(|v| v.parse().ok());
-                    self.journal.write(Observation::Answered { job: id(), status, own, retry_after });
-                    // What should not be there shows at once, if it was sent with the answer.
-                    tokio::task::yield_now().await;
-                    let bytes = w.surplus();
-                    if bytes > 0 {
-                        self.journal.write(Observation::Surplus { scheduler, bytes });
-                    } else if !message.closes() {
-                        self.idle(scheduler).push(w);
-                    }
-                    return;
-                }
-                Ok(_) if again && self.journal.now() - sent < 50.0 => continue,
-                Ok(_) => {
-                    return self.journal.write(Observation::Broken { job: id(), scheduler, unheard: false })
-                }
+            Err(_) => self.note_broken(job, is_kept),
+        }
+    }
+
+    /// Sends a request and notes how it ends, unless the connection turns out to have ended before and `may_repeat`.
+    async fn exchange(&self, job: &Job, request: &[u8], mut wire: Wire, may_repeat: bool) -> Exchange {
+        if wire.send(request).await.is_err() {
+            if may_repeat {
+                return Exchange::ConnectionHadEnded;
             }
+            self.note_broken(job, false);
+            return Exchange::Noted;
         }
+        let sent = self.journal.now();
+        self.journal.write(Observation::Sent { job: job.id.clone() });
+        let limit_ms = job.leaves.unwrap_or(job.patience + LISTENS_ON_MS);
+        let answer = tokio::time::timeout(Duration::from_secs_f64(limit_ms / 1e3), wire.message()).await;
+        match answer {
+            Err(_) if job.leaves.is_some() => self.journal.write(Observation::Left { job: job.id.clone() }),
+            Err(_) => self.journal.write(Observation::Unanswered { job: job.id.clone() }),
+            Ok(Ok(Some(message))) => self.note_answer(job, message, wire).await,
+            Ok(_) if may_repeat && self.journal.now() - sent < HAD_ENDED_WITHIN_MS => {
+                return Exchange::ConnectionHadEnded;
+            }
+            Ok(_) => self.note_broken(job, false),
+        }
+        Exchange::Noted
+    }
+
+    /// Notes an answer, and keeps the connection unless it ends or more comes on it.
+    async fn note_answer(&self, job: &Job, message: Message, mut wire: Wire) {
+        self.journal.write(Observation::Answered {
+            job: job.id.clone(),
+            status: message.status(),
+            own: message.body == result_of(&job.id).as_bytes(),
+            retry_after: message.header("Retry-After").and_then(|value| value.parse().ok()),
+        });
+        // Bytes that were sent with the answer by mistake are there at once.
+        tokio::task::yield_now().await;
+        let bytes = wire.surplus();
+        if bytes > 0 {
+            self.journal.write(Observation::Surplus { scheduler: job.home, bytes });
+        } else if !message.closes() {
+            self.idle(job.home).push(wire);
+        }
+    }
+
+    fn note_broken(&self, job: &Job, unheard: bool) {
+        let job_id = job.id.clone();
+        self.journal.write(Observation::Broken { job: job_id, scheduler: job.home, unheard });
     }
 
     fn request(&self, job: &Job) -> Vec<u8> {
         let (class, effect) = &self.classes[job.class];
-        let (expires, slots) = (format!("{}m", job.patience.round()), format!("slots={}", job.slots));
-        let hint = format!("{}", (job.hint * 1e3).round());
         let mut headers = vec![
             ("Host", "s".to_string()),
             ("X-Trace-Id", job.id.clone()),
             ("X-Qos", class.clone()),
-            ("X-Expires-In", expires),
-            ("X-Size-Hint", hint),
-            ("X-Props", slots),
+            ("X-Expires-In", format!("{}m", job.patience.round())),
+            ("X-Size-Hint", (job.hint * 1e3).round().to_string()),
+            ("X-Props", format!("slots={}", job.slots)),
         ];
         if *effect == Effect::ByKey {
             headers.push(("Idempotency-Key", format!("key-{}", job.id)));
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,5 +1,4 @@
-//! Stand-in discovery: the list of workers, whole or as a watch on changes, for each scheduler with addresses of its
-//! own.
+//! Stand-in discovery: the endpoint list, complete or as a watch on changes. Each scheduler gets addresses of its own.
 
 use crate::journal::{Journal, Observation};
 use crate::scenario::Fleet;
@@ -11,14 +10,18 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
+/// A worker on the list.
 #[derive(Clone)]
 struct Entry {
-    /// Its name on the list.
+    /// Its name.
     id: String,
+    /// Its address for each scheduler.
     addrs: Vec<SocketAddr>,
     cell: usize,
     drains: bool,
+    /// When it started, in milliseconds of Unix time.
     started_ms: u64,
+    /// The version of the list in which it changed last.
     version: u64,
 }
 
@@ -30,24 +33,44 @@
     Whole,
     /// Cut off in the middle, and the connection with it.
     Cut,
-    /// In pieces, with a rest after each.
+    /// In pieces, with a pause after each.
     Slow,
 }
 
-/// A slow answer is written in so many pieces, with this rest after each.
+/// Pieces of a slow answer.
 const PIECES: usize = 4;
-const REST: Duration = Duration::from_millis(40);
+/// The pause after each piece of a slow answer.
+const PIECE_PAUSE: Duration = Duration::from_millis(40);
 
-/// The list and who asks for it.
+/// An address at which nobody listens, for workers that are only listed.
+const UNUSED_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+/// The longest time that a watch waits, in milliseconds.
+const MAX_WAIT_MS: u64 = 60_000;
+
+/// What a call to discovery gets.
+pub struct ListAnswer {
+    /// The endpoint list as JSON.
+    pub body: String,
+    /// The workers of the run in it.
+    told: Vec<ToldWorker>,
+}
+
+/// What a list says of a worker.
+struct ToldWorker {
+    worker: usize,
+    drains: bool,
+}
+
+/// The service that publishes the endpoint list.
 pub struct Discovery {
     /// The workers of the run, then those that are only listed.
     list: Mutex<Vec<Entry>>,
-    /// How many of them are workers of the run.
+    /// How many of these are workers of the run.
     workers: usize,
     version: watch::Sender<u64>,
     down: watch::Sender<bool>,
     style: watch::Sender<ResponseStyle>,
-    /// Where each scheduler asks.
+    /// Its address for each scheduler.
     pub addrs: Vec<SocketAddr>,
     journal: Journal,
 }
@@ -72,7 +95,7 @@
             let (id, cell) = (name(n), n / fleet.cell.max(1));
             Entry { id, addrs, cell, drains: false, started_ms: 0, version: 1 }
         };
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
+        let nowhere = SocketAddr::from(UNUSED_ADDRESS);
         let listed = |n: usize| Entry {
             id: format!("listed-{n:04}"),
             addrs: vec![nowhere; schedulers],
@@ -83,7 +106,8 @@
         };
         let (count, listed) = (workers.len(), (0..fleet.listed).map(listed));
         let list = workers.into_iter().enumerate().map(entry).chain(listed).collect();
-        let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
+        let mut addrs = Vec::new();
+        let mut listeners = Vec::new();
         for _ in 0..schedulers {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             addrs.push(listener.local_addr()?);
@@ -134,36 +158,40 @@
         self.version.send_replace(next);
     }
 
-    /// All that are only listed are replaced.
+    /// Replaces all workers that are only listed.
     pub fn replace_listed(&self) {
         let next = *self.version.borrow() + 1;
         for entry in self.list().iter_mut().skip(self.workers) {
-            (entry.started_ms, entry.version) = (unix_ms(), next);
+            entry.started_ms = unix_ms();
+            entry.version = next;
         }
         self.version.send_replace(next);
     }
 
-    /// A worker drains, or no more.
+    /// Has a worker drain, or come back.
     pub fn drain(&self, worker: usize, drains: bool) {
-        self.change(worker, |e| e.drains = drains);
+        self.change(worker, |entry| entry.drains = drains);
     }
 
-    /// A worker has started.
+    /// Publishes that a worker has started.
     pub fn started(&self, worker: usize) {
-        self.change(worker, |e| (e.drains, e.started_ms) = (false, unix_ms()));
+        self.change(worker, |entry| {
+            entry.drains = false;
+            entry.started_ms = unix_ms();
+        });
     }
 
-    /// It goes down, with all that is asked of it, or comes back.
+    /// Takes the service down, connections included, or brings it back.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
 
-    /// It writes its answers so from now on.
+    /// Changes how it writes answers.
     pub fn set_style(&self, style: ResponseStyle) {
         self.style.send_replace(style);
     }
 
-    /// Writes an answer in the present style; says whether the connection goes on.
+    /// Writes an answer in the present style; says whether the connection is of further use.
     async fn write(&self, wire: &mut Wire, answer: &[u8]) -> bool {
         let style = *self.style.borrow();
         match style {
@@ -177,7 +205,7 @@
                     if wire.send(piece).await.is_err() {
                         return false;
                     }
-                    tokio::time::sleep(REST).await;
+                    tokio::time::sleep(PIECE_PAUSE).await;
                 }
                 true
             }
@@ -187,47 +215,55 @@
     async fn serve(&self, scheduler: usize, mut wire: Wire) {
         while let Ok(Some(message)) = wire.message().await {
             let Line::Request(_, path) = &message.line else { return };
-            let query = path.split_once('?').map_or("", |(_, q)| q);
-            let number = |key: &str| {
-                let pairs = query.split('&').filter_map(|p| p.split_once('='));
-                pairs.into_iter().find(|(k, _)| *k == key).and_then(|(_, v)| v.parse::<u64>().ok())
-            };
-            let after = number("after");
+            let after = query_number(path, "after");
             if let Some(after) = after {
-                let wait = Duration::from_millis(number("wait_ms").unwrap_or(0).min(60_000));
+                let wait_ms = query_number(path, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
                 let mut version = self.version.subscribe();
-                let _ = tokio::time::timeout(wait, version.wait_for(|v| *v > after)).await;
-                // or nothing is new
+                let newer = version.wait_for(|version| *version > after);
+                // After the time an answer without changes is given.
+                let _ = tokio::time::timeout(Duration::from_millis(wait_ms), newer).await;
             }
-            let (body, told) = self.told(scheduler, after);
-            // Told once it is written, whether or not it arrives whole: from then on the time for drains counts.
-            for (worker, drains) in told {
+            let answer = self.list_for(scheduler, after);
+            // Notified once it is written, whether or not it arrives whole: from then on the drain grace counts.
+            for ToldWorker { worker, drains } in answer.told {
                 self.journal.write(Observation::Told { worker, scheduler, drains });
             }
-            if !self.write(&mut wire, &wire::answer(200, &[], body.as_bytes())).await {
+            if !self.write(&mut wire, &wire::answer(200, &[], answer.body.as_bytes())).await {
                 return;
             }
         }
     }
 
-    /// The list for a scheduler, or what is new in it since a version; and what that tells of drains.
-    pub fn told(&self, scheduler: usize, after: Option<u64>) -> (String, Vec<(usize, bool)>) {
+    /// The complete list for a scheduler, or the changes since a version.
+    pub fn list_for(&self, scheduler: usize, after: Option<u64>) -> ListAnswer {
         let version = *self.version.borrow();
         let list = self.list();
-        let new = list.iter().enumerate().filter(|(_, e)| after.is_none_or(|after| e.version > after));
-        let (mut entries, mut told) = (Vec::new(), Vec::new());
-        for (n, e) in new {
-            if n < self.workers {
-                told.push((n, e.drains));
+        let mut entries = Vec::new();
+        let mut told = Vec::new();
+        for (worker, entry) in list.iter().enumerate() {
+            if after.is_some_and(|after| entry.version <= after) {
+                continue;
+            }
+            if worker < self.workers {
+                told.push(ToldWorker { worker, drains: entry.drains });
             }
-            let state = if e.drains { "draining" } else { "up" };
+            let state = if entry.drains { "draining" } else { "up" };
             entries.push(format!(
                 r#"{{"id":"{}","addr":"{}","zone":"a","kind":"k","cell":{},"state":"{state}","weight":1.0,"started_ms":{}}}"#,
-                e.id, e.addrs[scheduler], e.cell, e.started_ms
+                entry.id, entry.addrs[scheduler], entry.cell, entry.started_ms
             ));
         }
         let full = after.is_none();
         let servers = entries.join(",");
-        (format!(r#"{{"version":{version},"full":{full},"servers":[{servers}]}}"#), told)
+        let body = format!(r#"{{"version":{version},"full":{full},"servers":[{servers}]}}"#);
+        ListAnswer { body, told }
     }
 }
+
+/// A number in the query of a path.
+fn query_number(path: &str, key: &str) -> Option<u64> {
+    let (_, query) = path.split_once('?')?;
+    let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
+    let (_, value) = pairs.find(|(other, _)| *other == key)?;
+    value.parse().ok()
+}
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -165,7 +165,7 @@
     let mut idle = Vec::new();
     for number in &fault.who {
         let Some(scheduler) = stage.schedulers.get(*number) else { continue };
-        let listen = scheduler.lock().await.listens();
+        let listen = scheduler.lock().await.client_address();
         for _ in 0..fault.factor as usize {
             idle.extend(TcpStream::connect(listen).await.ok());
         }
@@ -201,9 +201,9 @@
         let scheduler = scheduler.lock().await;
         let until = Instant::now() + Duration::from_secs_f64(fault.for_s);
         while Instant::now() < until {
-            scheduler.pause(true)?;
+            scheduler.pause()?;
             tokio::time::sleep(THROTTLE_PERIOD.mul_f64(1.0 - fault.factor)).await;
-            scheduler.pause(false)?;
+            scheduler.resume()?;
             tokio::time::sleep(THROTTLE_PERIOD.mul_f64(fault.factor)).await;
         }
     }
@@ -220,15 +220,15 @@
     }
     for scheduler in &mut schedulers {
         match fault.kind {
-            FaultKind::Down => scheduler.down().await?,
-            _ => scheduler.pause(true)?,
+            FaultKind::Down => scheduler.kill().await?,
+            _ => scheduler.pause()?,
         }
     }
     last(fault).await;
     for scheduler in &mut schedulers {
         match fault.kind {
             FaultKind::Down => scheduler.start(&stage.scenario).await?,
-            _ => scheduler.pause(false)?,
+            _ => scheduler.resume()?,
         }
     }
     Ok(())
@@ -237,7 +237,7 @@
 /// Signals, replaces or restarts a scheduler.
 async fn restart(stage: &Stage, kind: FaultKind, scheduler: &mut Scheduler) -> Result<()> {
     match kind {
-        FaultKind::Kill => scheduler.kill(&stage.scenario).await,
+        FaultKind::Kill => scheduler.kill_and_restart(&stage.scenario).await,
         FaultKind::Upgrade => scheduler.upgrade(&stage.scenario).await,
         FaultKind::Reload => scheduler.reload(),
         FaultKind::Signals => {
--- a/crates/testbed/src/machine.rs
+++ b/crates/testbed/src/machine.rs
@@ -1,5 +1,4 @@
-//! A worker's inside, without sockets or clock: slots, a queue served in order, jobs that share nothing, and a start
-//! from cold.
+//! The model of a worker, without sockets or clock: slots, a queue in order of arrival, and slow start.
 
 #[cfg(test)]
 mod tests;
@@ -13,22 +12,22 @@
     pub id: String,
     /// Slots that it takes.
     pub slots: u32,
-    /// What is left of it, in milliseconds at speed 1.
+    /// The running time that is left, in milliseconds at speed 1.
     pub left: f64,
 }
 
-/// What a worker does with a job that is brought to it.
+/// Whether a worker accepts a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in the queue or at work.
+    /// It is in the queue or running.
     Accepted,
-    /// It is here already.
+    /// It was here already.
     Duplicate,
-    /// There is no room.
+    /// The queue is full.
     Full,
 }
 
-/// The inside of a worker.
+/// A worker's slots and queue.
 #[derive(Clone, Debug)]
 pub struct Machine {
     slots: u32,
@@ -38,32 +37,44 @@
     warm_ms: f64,
     running: Vec<Work>,
     queue: VecDeque<Work>,
-    /// When it last started cold; `None`: long ago.
+    /// When its slow start began; `None`: it has had none.
     started: Option<f64>,
     now: f64,
     /// Divides its speed.
     pub slower: f64,
-    /// It does nothing with what it has.
+    /// It makes no progress.
     pub hangs: bool,
 }
 
 impl Machine {
-    /// A warm one that has nothing to do.
+    /// A machine without jobs, not in slow start.
     pub fn new(slots: u32, queue_limit: usize, speed: f64, cold_from: f64, warm_ms: f64) -> Machine {
-        let (running, queue, started, now, slower, hangs) =
-            (Vec::new(), VecDeque::new(), None, 0.0, 1.0, false);
-        Machine { slots, queue_limit, speed, cold_from, warm_ms, running, queue, started, now, slower, hangs }
+        Machine {
+            slots,
+            queue_limit,
+            speed,
+            cold_from,
+            warm_ms,
+            running: Vec::new(),
+            queue: VecDeque::new(),
+            started: None,
+            now: 0.0,
+            slower: 1.0,
+            hangs: false,
+        }
     }
 
-    /// The part of its capacity that it has by now.
+    /// The fraction of its capacity that it has at a time.
     pub fn warmth(&self, now: f64) -> f64 {
         let age = self.started.map_or(f64::INFINITY, |at| now - at);
         (self.cold_from + (1.0 - self.cold_from) * age / self.warm_ms).min(1.0)
     }
 
-    /// Lets time pass, in steps short against its jobs; gives what has begun and what is done since, in order.
+    /// Lets time pass, in steps that are short compared to its jobs; gives the jobs that have begun and those that are
+    /// done since, in order.
     pub fn advance(&mut self, now: f64) -> (Vec<String>, Vec<String>) {
-        let (mut begun, mut done) = (Vec::new(), Vec::new());
+        let mut begun = Vec::new();
+        let mut done = Vec::new();
         let passed = (now - self.now).max(0.0);
         self.now = now;
         if self.hangs {
@@ -84,7 +95,7 @@
     }
 
     fn begin(&mut self, begun: &mut Vec<String>) {
-        // The first waits until it fits.
+        // No job passes the first one, which waits until it fits.
         while let Some(first) = self.queue.front() {
             if self.in_use() + first.slots > self.slots && !self.running.is_empty() {
                 return;
@@ -94,7 +105,7 @@
         }
     }
 
-    /// A job is brought. It begins with the next step, if it fits.
+    /// Adds a job. It begins with the next step, if it fits.
     pub fn submit(&mut self, work: Work) -> Admission {
         if self.running.iter().chain(&self.queue).any(|w| w.id == work.id) {
             return Admission::Duplicate;
@@ -106,15 +117,18 @@
         Admission::Accepted
     }
 
-    /// A job is given up: what waits is dropped, what runs goes on.
+    /// Cancels a job: one in the queue is dropped, one that runs goes on.
     pub fn cancel(&mut self, id: &str) {
         self.queue.retain(|w| w.id != id);
     }
 
-    /// It dies, and starts cold at this time with nothing; gives what is lost.
+    /// Loses all jobs and begins a slow start; gives the lost jobs.
     pub fn crash(&mut self, now: f64) -> Vec<String> {
         let lost = self.running.drain(..).chain(self.queue.drain(..)).map(|w| w.id).collect();
-        (self.started, self.now, self.slower, self.hangs) = (Some(now), now, 1.0, false);
+        self.started = Some(now);
+        self.now = now;
+        self.slower = 1.0;
+        self.hangs = false;
         lost
     }
 
@@ -123,13 +137,13 @@
         self.running.iter().map(|w| w.slots).sum()
     }
 
-    /// Slots that are free, as it reports them.
+    /// Free slots as in its load report.
     pub fn free(&self) -> u32 {
         let waiting: u32 = self.queue.iter().map(|w| w.slots).sum();
         self.slots.saturating_sub(self.in_use() + waiting)
     }
 
-    /// Jobs here, and those of them that wait.
+    /// All jobs, and those of them in the queue.
     pub fn jobs(&self) -> (usize, usize) {
         (self.running.len() + self.queue.len(), self.queue.len())
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,45 +1,46 @@
-//! All jobs of a run, drawn ahead from the seed alone: the same seed brings the same jobs at the same times.
+//! All jobs of a run, drawn in advance from the seed alone: the same seed brings the same jobs at the same times.
 
 #[cfg(test)]
 mod tests;
 
-use crate::scenario::{ReadyBy, Scenario};
+use crate::scenario::{Backlog, ReadyBy, Scenario};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::HashMap;
+use std::ops::RangeInclusive;
 
-/// A job that a client will bring.
+/// A job that a client will submit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// The client's id.
+    /// The client's trace id.
     pub id: String,
     /// When it is sent, in milliseconds from the start.
     pub at: f64,
     /// Its class, by number.
     pub class: usize,
-    /// Running time at speed 1, in milliseconds.
+    /// The running time at speed 1, in milliseconds.
     pub work: f64,
     /// Slots that it takes.
     pub slots: u32,
-    /// What the client says of its work, in milliseconds.
+    /// The size hint, in milliseconds.
     pub hint: f64,
-    /// For how long its client waits, in milliseconds.
+    /// How long its client waits, in milliseconds.
     pub patience: f64,
-    /// Jobs that it waits for, and whether any answer will do.
+    /// Its dependencies, and for each whether any answer will do.
     pub after: Vec<(String, bool)>,
-    /// It waits for this time, in milliseconds from the start.
+    /// The time to come that it waits for, in milliseconds from the start.
     pub start: Option<f64>,
-    /// Its client leaves so long after it sent it, in milliseconds.
+    /// Its client leaves so long after the submission, in milliseconds.
     pub leaves: Option<f64>,
     /// It belongs to a backlog.
     pub backlog: bool,
-    /// The scheduler that it is brought to, by number: jobs that name each other must meet.
+    /// The scheduler that it is sent to, by number; a job goes to the one of its dependencies.
     pub home: usize,
 }
 
 impl Job {
-    /// Whether it waits for anything.
+    /// Whether it is a deferred job.
     pub fn waits(&self) -> bool {
         !self.after.is_empty() || self.start.is_some()
     }
@@ -52,9 +53,27 @@
     index: HashMap<String, usize>,
 }
 
-/// Names are drawn from so many of the latest jobs.
-const RECENT: usize = 40;
+/// Dependencies are drawn from so many of the latest jobs.
+const RECENT_JOBS: usize = 40;
+/// The most dependencies that a job may have.
+const MAX_DEPENDENCIES: usize = 16;
+/// The running time of a job in multiples of its class's mean.
+const RUNNING_TIMES: RangeInclusive<f64> = 0.2..=4.0;
+/// A client that leaves does so within this fraction of its patience.
+const LEAVES_WITHIN: f64 = 0.2;
+/// Jobs of a backlog are sent over this fraction of the time before they come ready.
+const BACKLOG_SPREAD: f64 = 0.9;
+/// How long the client of a backlog's hub waits after it came ready, in milliseconds.
+const HUB_PATIENCE_MS: f64 = 60e3;
 
+/// A job that others may name.
+#[derive(Clone)]
+struct RecentJob {
+    id: String,
+    home: usize,
+}
+
+/// The state of drawing a plan. The order of draws decides what a seed brings.
 struct Draw<'a> {
     scenario: &'a Scenario,
     rng: ChaCha8Rng,
@@ -62,28 +81,45 @@
 }
 
 impl Draw<'_> {
-    /// A job of a class that is drawn by the shares.
+    /// A number from 0 to 1.
+    fn uniform(&mut self) -> f64 {
+        self.rng.random()
+    }
+
+    /// A number with an exponential distribution of mean 1.
+    fn exponential(&mut self) -> f64 {
+        -(1.0 - self.uniform()).ln()
+    }
+
+    /// A class, by number.
+    fn class(&mut self) -> usize {
+        let classes = &self.scenario.class;
+        let total: f64 = classes.iter().map(|class| class.share).sum();
+        let mut left = self.uniform() * total;
+        for (number, class) in classes.iter().enumerate() {
+            left -= class.share;
+            if left < 0.0 {
+                return number;
+            }
+        }
+        classes.len() - 1
+    }
+
+    /// A job that is not deferred.
     fn job(&mut self, at: f64) -> Job {
-        let total: f64 = self.scenario.class.iter().map(|c| c.share).sum();
-        let mut left = self.rng.random::<f64>() * total;
-        let class = self.scenario.class.iter().position(|c| {
-            left -= c.share;
-            left < 0.0
-        });
-        let class = class.unwrap_or(self.scenario.class.len() - 1);
-        let c = &self.scenario.class[class];
-        // From a fifth of the mean to four times it, mostly below it.
-        let work = c.mean_ms * (-(1.0 - self.rng.random::<f64>()).ln()).clamp(0.2, 4.0);
-        let hint = work * (self.rng.random::<f64>() * 2.0 - 1.0).exp();
+        let number = self.class();
+        let class = &self.scenario.class[number];
+        let work = class.mean_ms * self.exponential().clamp(*RUNNING_TIMES.start(), *RUNNING_TIMES.end());
+        let hint = work * (self.uniform() * 2.0 - 1.0).exp();
         self.count += 1;
         Job {
             id: format!("{:08x}{:08x}", self.rng.random::<u32>(), self.count),
             at,
-            class,
+            class: number,
             work,
-            slots: c.slots,
+            slots: class.slots,
             hint,
-            patience: c.give_up_ms,
+            patience: class.give_up_ms,
             after: Vec::new(),
             start: None,
             leaves: None,
@@ -93,93 +129,114 @@
     }
 
     /// Has a job wait for others or for a time.
-    fn wait(&mut self, job: &mut Job, recent: &[(String, usize)]) {
-        let w = &self.scenario.waiting;
-        if self.rng.random::<f64>() < w.after && !recent.is_empty() {
-            let names = self.rng.random_range(1..=w.names.clamp(1, 16));
-            for _ in 0..names {
-                let (name, home) = recent[self.rng.random_range(0..recent.len())].clone();
-                if job.after.is_empty() {
-                    job.home = home;
-                } else if job.home != home {
-                    continue;
-                }
-                let any = self.rng.random::<f64>() < w.any;
-                if job.after.iter().all(|(n, _)| *n != name) {
-                    job.after.push((name, any));
-                }
+    fn defer(&mut self, job: &mut Job, recent: &[RecentJob]) {
+        let waiting = &self.scenario.waiting;
+        if self.uniform() < waiting.after && !recent.is_empty() {
+            let dependencies = self.rng.random_range(1..=waiting.names.clamp(1, MAX_DEPENDENCIES));
+            for _ in 0..dependencies {
+                self.add_dependency(job, recent);
             }
         } else {
-            let [from, to] = w.delay_ms;
-            job.start = Some(job.at + from + (to - from) * self.rng.random::<f64>());
+            let [from, to] = waiting.delay_ms;
+            job.start = Some(job.at + from + (to - from) * self.uniform());
         }
-        job.patience += w.patience_ms;
+        job.patience += waiting.patience_ms;
     }
-}
 
-impl Plan {
-    /// Draws a run.
-    pub fn draw(scenario: &Scenario, seed: u64) -> Plan {
-        let mut draw = Draw { scenario, rng: ChaCha8Rng::seed_from_u64(seed), count: 0 };
-        let (rate, end) = (scenario.capacity() * scenario.load / 1e3, scenario.seconds * 1e3);
-        let (mut jobs, mut recent, mut at) = (Vec::<Job>::new(), Vec::new(), 0.0);
+    /// Adds a dependency, unless it is at another scheduler or there already.
+    fn add_dependency(&mut self, job: &mut Job, recent: &[RecentJob]) {
+        let RecentJob { id, home } = recent[self.rng.random_range(0..recent.len())].clone();
+        if job.after.is_empty() {
+            job.home = home;
+        } else if job.home != home {
+            return;
+        }
+        let takes_any_answer = self.uniform() < self.scenario.waiting.any;
+        if job.after.iter().all(|(other, _)| *other != id) {
+            job.after.push((id, takes_any_answer));
+        }
+    }
+
+    /// The jobs that arrive throughout the run.
+    fn steady_jobs(&mut self) -> Vec<Job> {
+        let scenario = self.scenario;
+        let rate = scenario.capacity() * scenario.load / 1e3;
+        let end = scenario.seconds * 1e3;
+        let mut jobs = Vec::new();
+        let mut recent = Vec::new();
+        let mut at = 0.0;
         loop {
             // At no load the first job lies beyond all time.
-            at += -(1.0 - draw.rng.random::<f64>()).ln() / rate;
+            at += self.exponential() / rate;
             if at >= end {
-                break;
+                return jobs;
             }
-            let mut job = draw.job(at);
-            if draw.rng.random::<f64>() < scenario.waiting.share {
-                draw.wait(&mut job, &recent);
+            let mut job = self.job(at);
+            if self.uniform() < scenario.waiting.share {
+                self.defer(&mut job, &recent);
             }
-            if draw.rng.random::<f64>() < scenario.leaving {
-                job.leaves = Some(job.patience * 0.2 * draw.rng.random::<f64>());
+            if self.uniform() < scenario.leaving {
+                job.leaves = Some(job.patience * LEAVES_WITHIN * self.uniform());
             }
-            recent.push((job.id.clone(), job.home));
-            if recent.len() > RECENT {
+            recent.push(RecentJob { id: job.id.clone(), home: job.home });
+            if recent.len() > RECENT_JOBS {
                 recent.remove(0);
             }
             jobs.push(job);
         }
-        for b in &scenario.backlog {
-            let ready = b.at_s * 1e3;
-            let mut hub = draw.job(ready - b.before_s * 1e3);
-            // It ends near the moment at which the others are to come ready.
-            (hub.work, hub.hint, hub.slots, hub.patience) =
-                (b.before_s * 1e3, b.before_s * 1e3, 1, ready + 60e3);
-            hub.backlog = true;
-            for n in 0..b.jobs {
-                let mut job =
-                    draw.job(ready - b.before_s * 1e3 * 0.9 * (1.0 - n as f64 / b.jobs as f64) - 1.0);
-                job.patience = ready - job.at + b.patience_s * 1e3;
-                job.backlog = true;
-                match b.by {
-                    ReadyBy::Hour => job.start = Some(ready),
-                    ReadyBy::Job => {
-                        job.after.push((hub.id.clone(), false));
-                        job.home = hub.home;
-                    }
+    }
+
+    /// Adds jobs that come ready at one moment.
+    fn add_backlog(&mut self, backlog: &Backlog, jobs: &mut Vec<Job>) {
+        let ready = backlog.at_s * 1e3;
+        let before = backlog.before_s * 1e3;
+        let mut hub = self.job(ready - before);
+        // It ends near the moment at which the others are to come ready.
+        hub.work = before;
+        hub.hint = before;
+        hub.slots = 1;
+        hub.patience = ready + HUB_PATIENCE_MS;
+        hub.backlog = true;
+        for n in 0..backlog.jobs {
+            let left = 1.0 - n as f64 / backlog.jobs as f64;
+            let mut job = self.job(ready - before * BACKLOG_SPREAD * left - 1.0);
+            job.patience = ready - job.at + backlog.patience_s * 1e3;
+            job.backlog = true;
+            match backlog.by {
+                ReadyBy::Hour => job.start = Some(ready),
+                ReadyBy::Job => {
+                    job.after.push((hub.id.clone(), false));
+                    job.home = hub.home;
                 }
-                jobs.push(job);
-            }
-            if b.by == ReadyBy::Job {
-                jobs.push(hub);
             }
+            jobs.push(job);
+        }
+        if backlog.by == ReadyBy::Job {
+            jobs.push(hub);
+        }
+    }
+}
+
+impl Plan {
+    /// Draws the jobs of a run.
+    pub fn draw(scenario: &Scenario, seed: u64) -> Plan {
+        let mut draw = Draw { scenario, rng: ChaCha8Rng::seed_from_u64(seed), count: 0 };
+        let mut jobs = draw.steady_jobs();
+        for backlog in &scenario.backlog {
+            draw.add_backlog(backlog, &mut jobs);
         }
         jobs.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let index = jobs.iter().enumerate().map(|(n, j)| (j.id.clone(), n)).collect();
-        Plan { jobs, index }
+        Plan::of(jobs)
     }
 
     /// A job by its client's id.
     pub fn get(&self, id: &str) -> Option<&Job> {
-        self.index.get(id).map(|n| &self.jobs[*n])
+        self.index.get(id).map(|position| &self.jobs[*position])
     }
 
     /// A plan of these jobs.
     pub fn of(jobs: Vec<Job>) -> Plan {
-        let index = jobs.iter().enumerate().map(|(n, j)| (j.id.clone(), n)).collect();
+        let index = jobs.iter().enumerate().map(|(position, job)| (job.id.clone(), position)).collect();
         Plan { jobs, index }
     }
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,6 +1,6 @@
-//! The links between the schedulers' processes: a relay in user space, on which each ordered pair is a link of its own that can
-//! be cut, be lossy, slow, double and reorder; datagrams and connections alike. A process has two addresses, its own and the
-//! one by which others know it; the latter is the relay's.
+//! The links between schedulers: a relay in user space for datagrams and connections. Each ordered pair of schedulers has a
+//! link of its own, which can be cut, lose, delay, double and reorder. A scheduler has two addresses: its own, and the one
+//! that others know, which is the relay's.
 
 #[cfg(test)]
 mod tests;
@@ -18,56 +18,84 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 
-/// What all links do to datagrams; connections are as late, and what is lost on them is sent again after a time.
+/// What all links do to datagrams. Connections have the same delays; what is lost on them is sent again after a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkConditions {
-    /// Part that is lost.
+    /// The fraction that is lost.
     pub loss: f64,
-    /// Part that comes twice.
+    /// The fraction that arrives twice.
     pub twice: f64,
-    /// The longest delay in milliseconds; each has one by chance, so that later ones come earlier.
+    /// The longest delay in milliseconds. Each datagram has a random one, so that datagrams overtake each other.
     pub delay_ms: f64,
-    /// The most datagrams a second that one link carries; 0: no bound.
+    /// The most datagrams a second that one link carries; 0: no limit.
     pub limit: u32,
 }
 
-/// What can be seen and set while all runs.
+/// The way from one scheduler to another, by number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: usize,
+    to: usize,
+}
+
+/// The datagrams that a link has carried in a second.
+#[derive(Clone, Copy, Debug, Default)]
+struct Carried {
+    /// The second, since the start of the relay.
+    second: u64,
+    datagrams: u32,
+}
+
+/// What can change during a run.
 struct RelayState {
     conditions: LinkConditions,
-    cut: BTreeSet<(usize, usize)>,
+    cut: BTreeSet<Link>,
     /// Connections on these are reset.
-    reset: BTreeSet<(usize, usize)>,
-    /// Of each link with a bound: the second, and datagrams in it.
-    carried: BTreeMap<(usize, usize), (u64, u32)>,
-    begun: Instant,
+    reset: BTreeSet<Link>,
+    /// By link, where there is a limit.
+    carried: BTreeMap<Link, Carried>,
+    started: Instant,
     rng: ChaCha8Rng,
 }
 
-/// The relay between so many processes.
+/// The relay between schedulers.
 pub struct Relay {
-    /// Where each process listens itself.
+    /// Where each scheduler listens.
     pub own: Vec<SocketAddr>,
-    /// Where others reach it.
+    /// The address at which others reach it.
     pub known: Vec<SocketAddr>,
     state: Mutex<RelayState>,
 }
 
-/// What is lost on a connection is sent again after this time, in milliseconds (Linux's least).
-const SENT_AGAIN_MS: f64 = 200.0;
+/// What is lost on a connection is sent again after this time, in milliseconds: Linux's shortest timeout.
+const RETRANSMIT_MS: f64 = 200.0;
 
-/// The addresses of processes and those by which they are known, each in a range of its own.
+/// The second octet of schedulers' own addresses.
 const OWN: u8 = 84;
+/// The second octet of the relay's addresses.
 const KNOWN: u8 = 85;
 
+/// The links from some schedulers to others.
+fn links(from: &[usize], to: &[usize]) -> Vec<Link> {
+    let mut links = Vec::new();
+    for from in from {
+        for to in to {
+            links.push(Link { from: *from, to: *to });
+        }
+    }
+    links
+}
+
+/// The address of a scheduler in a range.
 fn host(range: u8, n: usize) -> Ipv4Addr {
     Ipv4Addr::new(127, range, 0, n as u8 + 1)
 }
 
 impl Relay {
-    /// Starts one; all links work.
+    /// Starts a relay between so many schedulers; all links work.
     ///
     /// # Errors
-    /// An address cannot be had.
+    /// The operating system has no free address.
     pub async fn start(n: usize, seed: u64) -> Result<Arc<Relay>> {
         let (mut own, mut known, mut sockets) = (Vec::new(), Vec::new(), Vec::new());
         for i in 0..n {
@@ -84,7 +112,7 @@
             cut: BTreeSet::new(),
             reset: BTreeSet::new(),
             carried: BTreeMap::new(),
-            begun: Instant::now(),
+            started: Instant::now(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         };
         let relay = Arc::new(Relay { own, known, state: Mutex::new(state) });
@@ -103,57 +131,68 @@
         }
     }
 
-    /// All links from now on.
+    /// Changes the conditions of all links.
     pub fn set_conditions(&self, conditions: LinkConditions) {
         self.state().conditions = conditions;
     }
 
-    /// Cuts the ways from some to others, or makes them whole again; the ways back stay as they are.
+    /// Cuts the links from some schedulers to others, or restores them; the links back stay as they are.
     pub fn cut(&self, from: &[usize], to: &[usize], cut: bool) {
         let mut state = self.state();
-        for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if cut { state.cut.insert(pair) } else { state.cut.remove(&pair) };
+        for link in links(from, to) {
+            if cut {
+                state.cut.insert(link);
+            } else {
+                state.cut.remove(&link);
+            }
         }
     }
 
-    /// Has connections from some to others reset as soon as they come, or no more.
+    /// Has connections from some schedulers to others reset as soon as they are opened, or no longer.
     pub fn reset(&self, from: &[usize], to: &[usize], on: bool) {
         let mut state = self.state();
-        for pair in from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b))) {
-            let _ = if on { state.reset.insert(pair) } else { state.reset.remove(&pair) };
+        for link in links(from, to) {
+            if on {
+                state.reset.insert(link);
+            } else {
+                state.reset.remove(&link);
+            }
         }
     }
 
-    fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.state().cut.contains(&(from, to))
+    fn is_cut(&self, link: Link) -> bool {
+        self.state().cut.contains(&link)
     }
 
-    /// When copies of a datagram are to be handed on; none where it is lost.
-    fn fate(&self, from: usize, to: usize) -> Vec<Duration> {
+    /// The delays of the copies of a datagram; none where it is lost.
+    fn datagram_delays(&self, link: Link) -> Vec<Duration> {
         let mut state = self.state();
         let LinkConditions { loss, twice, delay_ms, limit } = state.conditions;
         if limit > 0 {
-            let second = state.begun.elapsed().as_secs();
-            let carried = state.carried.entry((from, to)).or_default();
-            *carried = if carried.0 == second { (second, carried.1 + 1) } else { (second, 1) };
-            if carried.1 > limit {
+            let second = state.started.elapsed().as_secs();
+            let carried = state.carried.entry(link).or_default();
+            if carried.second != second {
+                *carried = Carried { second, datagrams: 0 };
+            }
+            carried.datagrams += 1;
+            if carried.datagrams > limit {
                 return Vec::new();
             }
         }
-        if state.cut.contains(&(from, to)) || state.rng.random::<f64>() < loss {
+        if state.cut.contains(&link) || state.rng.random::<f64>() < loss {
             return Vec::new();
         }
         let copies = 1 + usize::from(state.rng.random::<f64>() < twice);
         (0..copies).map(|_| Duration::from_secs_f64(delay_ms * state.rng.random::<f64>() / 1e3)).collect()
     }
 
-    /// How late the next piece of a connection is.
-    fn lag(&self) -> Duration {
+    /// The delay of the next piece of a connection.
+    fn connection_delay(&self) -> Duration {
         let mut state = self.state();
         let LinkConditions { loss, delay_ms, .. } = state.conditions;
         let mut ms = delay_ms * state.rng.random::<f64>();
         while state.rng.random::<f64>() < loss {
-            ms += SENT_AGAIN_MS;
+            ms += RETRANSMIT_MS;
         }
         Duration::from_secs_f64(ms / 1e3)
     }
@@ -163,10 +202,10 @@
         loop {
             let Ok((length, source)) = sockets[to].recv_from(&mut bytes).await else { continue };
             let Some(from) = self.own.iter().position(|own| *own == source) else { continue };
-            for after in self.fate(from, to) {
+            for delay in self.datagram_delays(Link { from, to }) {
                 let (socket, addr, bytes) = (sockets[from].clone(), self.own[to], bytes[..length].to_vec());
                 tokio::spawn(async move {
-                    tokio::time::sleep(after).await;
+                    tokio::time::sleep(delay).await;
                     let _ = socket.send_to(&bytes, addr).await; // one that nobody takes is lost
                 });
             }
@@ -183,7 +222,7 @@
 
     /// A cut link is silent: the connection is up, and nothing comes.
     async fn connection(self: Arc<Relay>, from: usize, to: usize, stream: TcpStream) {
-        if self.state().reset.contains(&(from, to)) {
+        if self.state().reset.contains(&Link { from, to }) {
             let _ = SockRef::from(&stream).set_linger(Some(Duration::ZERO)); // a reset in place of an end
             return;
         }
@@ -193,14 +232,17 @@
         }
         let Ok(other) = socket.connect(self.own[to]).await else { return };
         let ((here, to_here), (there, to_there)) = (stream.into_split(), other.into_split());
-        tokio::join!(self.pass(from, to, here, to_there), self.pass(to, from, there, to_here));
+        let there_link = Link { from, to };
+        let back_link = Link { from: to, to: from };
+        tokio::join!(self.pass(there_link, here, to_there), self.pass(back_link, there, to_here));
     }
 
-    async fn pass(&self, from: usize, to: usize, mut here: OwnedReadHalf, mut there: OwnedWriteHalf) {
+    /// Passes bytes on; those on a cut link are dropped.
+    async fn pass(&self, link: Link, mut here: OwnedReadHalf, mut there: OwnedWriteHalf) {
         let mut bytes = vec![0; 16 * 1024];
         while let Ok(n @ 1..) = here.read(&mut bytes).await {
-            tokio::time::sleep(self.lag()).await;
-            if !self.is_cut(from, to) && there.write_all(&bytes[..n]).await.is_err() {
+            tokio::time::sleep(self.connection_delay()).await;
+            if !self.is_cut(link) && there.write_all(&bytes[..n]).await.is_err() {
                 return;
             }
         }
--- a/crates/testbed/src/relay/tests.rs
+++ b/crates/testbed/src/relay/tests.rs
@@ -38,18 +38,20 @@
 async fn weather_loses_and_doubles_by_its_seed() {
     let relay = Relay::start(2, 7).await.unwrap();
     relay.set_conditions(LinkConditions { loss: 0.3, twice: 0.2, delay_ms: 5.0, limit: 0 });
-    let fates: Vec<usize> = (0..2_000).map(|_| relay.fate(0, 1).len()).collect();
+    let fates: Vec<usize> =
+        (0..2_000).map(|_| relay.datagram_delays(Link { from: 0, to: 1 }).len()).collect();
     let part = |n: usize| fates.iter().filter(|f| **f == n).count() as f64 / 2_000.0;
     relay.set_conditions(LinkConditions { limit: 3, ..LinkConditions::default() });
-    let carried: usize = (0..100).map(|_| relay.fate(1, 0).len()).sum();
+    let carried: usize = (0..100).map(|_| relay.datagram_delays(Link { from: 1, to: 0 }).len()).sum();
     assert!((3..=6).contains(&carried), "three in each second that it took: {carried}");
     relay.set_conditions(LinkConditions { loss: 0.3, ..LinkConditions::default() });
-    let again = (0..2_000).map(|_| relay.lag().as_secs_f64() * 1e3 / SENT_AGAIN_MS).sum::<f64>() / 2_000.0;
+    let again = (0..2_000).map(|_| relay.connection_delay().as_secs_f64() * 1e3 / RETRANSMIT_MS).sum::<f64>()
+        / 2_000.0;
     assert!((again - 0.3 / 0.7).abs() < 0.06, "sent again {again:.2} times for each piece of a connection");
     relay.set_conditions(LinkConditions { delay_ms: 10.0, ..LinkConditions::default() });
-    assert!((0..100).all(|_| relay.lag() <= Duration::from_millis(10)));
-    assert!((0..100).any(|_| relay.lag() >= Duration::from_millis(5)));
+    assert!((0..100).all(|_| relay.connection_delay() <= Duration::from_millis(10)));
+    assert!((0..100).any(|_| relay.connection_delay() >= Duration::from_millis(5)));
     relay.set_conditions(LinkConditions::default());
-    assert_eq!(relay.lag(), Duration::ZERO);
+    assert_eq!(relay.connection_delay(), Duration::ZERO);
     assert!((part(0) - 0.3).abs() < 0.04 && (part(2) - 0.14).abs() < 0.04, "{} {}", part(0), part(2));
 }
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -4,7 +4,7 @@
 use crate::plan::Job;
 use crate::runner::Run;
 use crate::scenario::{Effect, WINDOW_MS};
-use crate::schedulers::BESIDES_MS;
+use crate::schedulers::SHUTDOWN_GRACE_MS;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
@@ -199,7 +199,7 @@
                 _ => {}
             }
         }
-        let owed = told_to_end.is_some_and(|at| sent > at + BESIDES_MS);
+        let owed = told_to_end.is_some_and(|at| sent > at + SHUTDOWN_GRACE_MS);
         !owed && self.killed(scheduler, sent, ended)
     }
 
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -7,7 +7,7 @@
 use crate::plan::{Job, Plan};
 use crate::relay::Relay;
 use crate::scenario::Scenario;
-use crate::schedulers::{free_address, Place, Scheduler};
+use crate::schedulers::{free_address, Addresses, Scheduler};
 use crate::stage::Stage;
 use crate::workers::Worker;
 use anyhow::Result;
@@ -84,11 +84,11 @@
     options: &Options,
     progress: impl Fn(f64) + Send + 'static,
 ) -> Result<Run> {
-    let mut places = Vec::new();
+    let mut addresses = Vec::new();
     for _ in 0..scenario.schedulers {
-        places.push(Place { listen: free_address()?, mgmt: free_address()? });
+        addresses.push(Addresses { listen: free_address()?, mgmt: free_address()? });
     }
-    let stage = Arc::new(start(scenario, plan.clone(), options, &places).await?);
+    let stage = Arc::new(start(scenario, plan.clone(), options, &addresses).await?);
     tokio::time::sleep(FIRST_LIST).await;
     // The times of the plan count from here.
     let journal = stage.journal.clone();
@@ -99,10 +99,10 @@
         fault.at_s += begun / 1e3;
     }
     let mut client_addresses = Vec::new();
-    for place in &places {
+    for address in &addresses {
         client_addresses.push(match options.between {
-            Some(between) => between(place.listen),
-            None => place.listen,
+            Some(between) => between(address.listen),
+            None => address.listen,
         });
     }
     let clients = Clients::new(&stage.scenario, client_addresses, journal.clone());
@@ -117,9 +117,14 @@
 }
 
 /// Starts all parties but the clients.
-async fn start(scenario: &Scenario, plan: Arc<Plan>, options: &Options, places: &[Place]) -> Result<Stage> {
+async fn start(
+    scenario: &Scenario,
+    plan: Arc<Plan>,
+    options: &Options,
+    addresses: &[Addresses],
+) -> Result<Stage> {
     let journal = Journal::default();
-    let listens: Vec<SocketAddr> = places.iter().map(|place| place.listen).collect();
+    let listens: Vec<SocketAddr> = addresses.iter().map(|address| address.listen).collect();
     let mut workers = Vec::new();
     for number in 0..scenario.fleet.workers {
         let worker = Worker::start(number, scenario, listens.clone(), plan.clone(), journal.clone());
@@ -132,10 +137,11 @@
         None => None,
     };
     let mut schedulers = Vec::new();
-    for (number, place) in places.iter().enumerate() {
+    for (number, address) in addresses.iter().enumerate() {
         let addr = discovery.addrs[number];
-        let scheduler = Scheduler::new(number, &options.binary, *place, addr, &options.out, journal.clone())?;
-        let mut scheduler = scheduler.knowing(&discovery.told(number, None).0)?;
+        let scheduler =
+            Scheduler::new(number, &options.binary, *address, addr, &options.out, journal.clone())?;
+        let mut scheduler = scheduler.with_known_endpoints(&discovery.list_for(number, None).body)?;
         if let (Some(members), Some(relay)) = (&scenario.members, &relay) {
             scheduler = scheduler.with_members(members, relay);
         }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,5 +1,4 @@
-//! What is played: a fleet, its classes and load, jobs that wait, and faults. Files are TOML; what is unknown in one
-//! is an error.
+//! Scenarios: a fleet, its classes and load, deferred jobs, and faults. Files are TOML; an unknown key is an error.
 
 use anyhow::{bail, Context, Result};
 use serde::{Deserialize, Serialize};
@@ -9,13 +8,13 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it shows.
+    /// What it shows, in a line.
     pub about: String,
-    /// For how long clients bring jobs, in seconds.
+    /// How long clients submit jobs, in seconds.
     pub seconds: f64,
-    /// Jobs brought over what the fleet can do.
+    /// The rate of jobs as a part of the fleet's capacity.
     pub load: f64,
-    /// Schedulers, side by side.
+    /// The number of schedulers.
     #[serde(default = "one")]
     pub schedulers: usize,
     /// Descriptors that each scheduler may hold.
@@ -24,23 +23,23 @@
     /// The setup file that schedulers get, if any.
     #[serde(default)]
     pub setup: Option<String>,
-    /// Schedulers know of each other, over links that can be cut.
+    /// Schedulers are members of a group, over links that can be cut.
     #[serde(default)]
     pub members: Option<Members>,
     /// The workers.
     pub fleet: Fleet,
-    /// The classes of jobs; shares are made to add up.
+    /// The classes of jobs.
     pub class: Vec<Class>,
-    /// Jobs that wait.
+    /// Deferred jobs.
     #[serde(default)]
     pub waiting: Waiting,
     /// Jobs that come ready at one moment.
     #[serde(default)]
     pub backlog: Vec<Backlog>,
-    /// What goes wrong.
+    /// The faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
-    /// The part of the clients that leave before their answer.
+    /// The fraction of clients that leave before their answer.
     #[serde(default)]
     pub leaving: f64,
 }
@@ -53,31 +52,31 @@
     pub workers: usize,
     /// Slots of each.
     pub slots: u32,
-    /// Jobs that wait at each, at most.
+    /// The longest queue of each.
     #[serde(default = "queue")]
     pub queue: usize,
     /// Speeds, spread evenly from the first to the second.
     #[serde(default = "speed")]
     pub speed: [f64; 2],
-    /// The part of its capacity with which one starts.
+    /// The fraction of its capacity with which a slow start begins.
     #[serde(default = "cold_from")]
     pub cold_from: f64,
-    /// It is warm after this time, in milliseconds.
+    /// How long a slow start takes, in milliseconds.
     #[serde(default = "warm_ms")]
     pub warm_ms: f64,
-    /// Workers to a cell, which drops repeats of a keyed job.
+    /// Workers to a cell, which is the deduplication scope.
     #[serde(default = "cell")]
     pub cell: usize,
-    /// Further workers on the list, which drain throughout and so take no jobs: they make it as long as a large fleet's.
+    /// Further workers on the endpoint list that are always draining: they make it as long as a large fleet's.
     #[serde(default)]
     pub listed: usize,
 }
 
-/// Schedulers as members.
+/// Membership of the schedulers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Members {
-    /// Their zones, in turn.
+    /// The number of zones, which schedulers are in by turns.
     pub zones: usize,
     /// Between two pings, in milliseconds.
     pub probe_ms: f64,
@@ -91,7 +90,7 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// Its part of all jobs.
+    /// Its share of all jobs, relative to other classes.
     pub share: f64,
     /// Mean running time on a worker of speed 1, in milliseconds.
     pub mean_ms: f64,
@@ -101,9 +100,9 @@
     /// How often a job may take effect.
     #[serde(default)]
     pub effect: Effect,
-    /// For how long clients wait, in milliseconds, and what waits before it starts so much longer.
+    /// How long clients wait, in milliseconds; those of deferred jobs wait longer.
     pub give_up_ms: f64,
-    /// In time within this time, in milliseconds.
+    /// The latency objective, in milliseconds.
     #[serde(default = "goal_ms")]
     pub goal_ms: f64,
 }
@@ -112,37 +111,37 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// Safe to repeat.
+    /// As often as one likes: it is idempotent.
     #[default]
     Repeatable,
-    /// Repeats are dropped in a cell for 30 s.
+    /// Once in a cell within 30 s: it is idempotent by key.
     ByKey,
-    /// Never to run twice.
+    /// Once: it is not idempotent.
     Once,
 }
 
-/// For so long a cell drops repeats of a key, in milliseconds.
+/// How long a cell drops repeats of an idempotency key, in milliseconds.
 pub const WINDOW_MS: f64 = 30_000.0;
-/// Work over this multiple of what a cold worker can do ...
+/// More work than this multiple of what a worker in slow start can do makes it fall over ...
 pub const OVERLOAD: f64 = 3.0;
-/// ... within this time, in milliseconds, makes it fall over.
+/// ... where it arrives within this time, in milliseconds.
 pub const FALL_MS: f64 = 1_500.0;
 
-/// Jobs that wait.
+/// Deferred jobs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Waiting {
-    /// Their part of all jobs.
+    /// Their fraction of all jobs.
     pub share: f64,
-    /// Of those, the part that waits for others; the rest waits for a time.
+    /// The fraction of those that waits for other jobs; the others wait for a time.
     pub after: f64,
-    /// Of the names in those, the part that takes any answer.
+    /// The fraction of dependencies for which any answer will do.
     pub any: f64,
-    /// Names that a job waits for, at most.
+    /// The most dependencies of a job.
     pub names: usize,
-    /// Times that are waited for, in milliseconds, from the first to the second.
+    /// How far ahead the times lie, in milliseconds, from the first to the second.
     pub delay_ms: [f64; 2],
-    /// How much longer their clients wait than those of others, in milliseconds.
+    /// How much longer their clients wait than others, in milliseconds.
     pub patience_ms: f64,
 }
 
@@ -152,11 +151,11 @@
 pub struct Backlog {
     /// When they come ready, in seconds from the start.
     pub at_s: f64,
-    /// They are brought in the time before that, in seconds.
+    /// They are submitted within this time before that, in seconds.
     pub before_s: f64,
     /// How many.
     pub jobs: usize,
-    /// By what they come ready.
+    /// What makes them ready.
     pub by: ReadyBy,
     /// How long their clients wait from then on, in seconds.
     pub patience_s: f64,
@@ -172,27 +171,27 @@
     Job,
 }
 
-/// Something that goes wrong at a time.
+/// A fault at a time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When, in seconds from the start.
+    /// When it begins, in seconds from the start.
     pub at_s: f64,
-    /// What.
+    /// What goes wrong.
     pub kind: FaultKind,
-    /// With which workers, by number, or with which scheduler.
+    /// The workers or schedulers that it concerns, by number.
     #[serde(default)]
     pub who: Vec<usize>,
-    /// Schedulers that others may find to be gone because of it, though they run.
+    /// Schedulers that others may declare gone because of it, though they run.
     #[serde(default)]
     pub grants: Vec<usize>,
-    /// To which schedulers, where links are cut.
+    /// The schedulers at the other ends, where links are cut.
     #[serde(default)]
     pub to: Vec<usize>,
-    /// For how long, in seconds, where it ends.
+    /// How long it lasts, in seconds, where it ends.
     #[serde(default)]
     pub for_s: f64,
-    /// How much slower, where it is slow.
+    /// Its measure; what it means depends on the kind.
     #[serde(default = "factor")]
     pub factor: f64,
 }
@@ -201,31 +200,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Workers die with all that they have, and start again cold after the time.
+    /// Workers lose their processes and jobs, and start again, in slow start, after the time.
     Crash,
-    /// Workers take jobs and answer none.
+    /// Workers accept jobs and finish none.
     Hang,
     /// Workers run slower by the factor.
     Slow,
-    /// Workers turn all jobs away, unseen.
+    /// Workers reject all jobs unread.
     Refuse,
-    /// Workers break connections before they say that they have a job.
+    /// Workers close connections before they answer that they have accepted a job.
     Break,
-    /// Workers drain, by the list, and come back after the time.
+    /// Workers are draining on the endpoint list, and come back after the time.
     Drain,
-    /// Workers tell each piece of news twice.
+    /// Workers send each job status update twice.
     Twice,
-    /// Workers tell their news a second late.
+    /// Workers send job status updates a second late.
     Late,
     /// Discovery answers nothing.
     Discovery,
-    /// The further workers on the list are replaced: the lines of all of them change.
+    /// The further workers on the endpoint list are replaced: all their entries change.
     Replace,
     /// Discovery's answers are cut off in the middle.
     CutLists,
     /// Discovery's answers come in pieces, slowly.
     SlowLists,
-    /// Idle connections, so many (the factor), are opened to a scheduler and closed after the time.
+    /// As many idle connections as the factor says are opened to a scheduler, and closed after the time.
     Crowd,
     /// A scheduler gets SIGHUP and SIGTERM several times in quick succession, and is started again once it has ended.
     Signals,
@@ -235,25 +234,25 @@
     Down,
     /// A scheduler is stopped by SIGSTOP, and goes on after the time.
     Pause,
-    /// A scheduler has this part (the factor) of a core only, by SIGSTOP and SIGCONT in turn.
+    /// A scheduler has only the factor's part of a core, by SIGSTOP and SIGCONT in turn.
     Throttle,
     /// Links from schedulers to others are cut, one way.
     Cut,
     /// Connections from schedulers to others are reset.
     Reset,
-    /// Each link between schedulers carries so many datagrams a second (the factor) and loses the rest.
+    /// Each link between schedulers carries as many datagrams a second as the factor says, and loses the rest.
     Limit,
-    /// All links between schedulers lose this part (the factor) and delay by up to 300 ms, and double a tenth.
+    /// All links between schedulers lose the factor's part of datagrams, delay others by up to 300 ms, and double a tenth.
     Weather,
     /// A scheduler gets SIGTERM and is started again once it has ended.
     Term,
     /// A scheduler gets SIGTERM, SIGKILL at the earliest moment that operators allow, and is started again.
     TermThenKill,
-    /// A scheduler is followed by a new process, then gets SIGTERM.
+    /// A scheduler is upgraded: a successor starts, then the old process gets SIGTERM.
     Upgrade,
     /// A scheduler gets SIGHUP.
     Reload,
-    /// A worker is taken out by hand and put back after the time.
+    /// An operator disables a worker and enables it after the time.
     Maint,
 }
 
@@ -292,57 +291,67 @@
     /// Reads a scenario file.
     ///
     /// # Errors
-    /// What is wrong with it, with its place.
+    /// The file cannot be read, or is no scenario.
     pub fn load(path: &Path) -> Result<Scenario> {
         let text = std::fs::read_to_string(path).with_context(|| format!("{}", path.display()))?;
         Scenario::read(&text).with_context(|| format!("{}", path.display()))
     }
 
-    /// Reads a scenario.
+    /// Parses a scenario.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The text is no scenario, or has values that contradict each other.
     pub fn read(text: &str) -> Result<Scenario> {
         let scenario: Scenario = toml::from_str(text)?;
-        let s = &scenario;
-        let shares = s.class.iter().all(|c| c.share >= 0.0 && c.mean_ms > 0.0 && c.slots > 0);
-        if s.class.is_empty() || !shares || s.class.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
+        scenario.check_load()?;
+        for fault in &scenario.fault {
+            scenario.check_fault(fault)?;
+        }
+        Ok(scenario)
+    }
+
+    fn check_load(&self) -> Result<()> {
+        let is_valid = |class: &Class| class.share >= 0.0 && class.mean_ms > 0.0 && class.slots > 0;
+        let total_share: f64 = self.class.iter().map(|class| class.share).sum();
+        if self.class.is_empty() || !self.class.iter().all(is_valid) || total_share <= 0.0 {
             bail!("a scenario has classes with shares, running times and slots above 0");
         }
-        if s.fleet.workers == 0 || s.fleet.slots == 0 || s.schedulers == 0 {
+        if self.fleet.workers == 0 || self.fleet.slots == 0 || self.schedulers == 0 {
             bail!("a scenario has workers with slots, and a scheduler");
         }
-        if !(s.seconds > 0.0 && s.load >= 0.0 && (0.0..=1.0).contains(&s.waiting.share)) {
+        let is_part = (0.0..=1.0).contains(&self.waiting.share);
+        if !(self.seconds > 0.0 && self.load >= 0.0 && is_part) {
             bail!("seconds is above 0, load is not below 0, waiting.share is a part of 1");
         }
-        for fault in &s.fault {
-            let count = if fault.kind.concerns_workers() { s.fleet.workers } else { s.schedulers };
-            let links = matches!(
-                fault.kind,
-                FaultKind::Cut | FaultKind::Reset | FaultKind::Limit | FaultKind::Weather
-            );
-            if links && s.members.is_none() {
-                bail!("a {:?} at {} s needs [members]", fault.kind, fault.at_s);
-            }
-            if fault.kind == FaultKind::Weather && !(0.0..1.0).contains(&fault.factor) {
-                bail!("the factor of weather at {} s is the part that is lost, from 0 to 1", fault.at_s);
-            }
-            if fault.kind == FaultKind::Throttle && !(fault.factor > 0.0 && fault.factor < 1.0) {
-                bail!("the factor of a throttle at {} s is a part of a core, between 0 and 1", fault.at_s);
-            }
-            if let Some(other) = fault.who.iter().chain(&fault.to).find(|who| **who >= count) {
-                bail!("a {:?} at {} s names number {other}; there are {count}", fault.kind, fault.at_s);
-            }
+        Ok(())
+    }
+
+    fn check_fault(&self, fault: &Fault) -> Result<()> {
+        let Fault { kind, at_s, factor, .. } = fault;
+        let concerns_links =
+            matches!(kind, FaultKind::Cut | FaultKind::Reset | FaultKind::Limit | FaultKind::Weather);
+        if concerns_links && self.members.is_none() {
+            bail!("a {kind:?} at {at_s} s needs [members]");
         }
-        Ok(scenario)
+        if *kind == FaultKind::Weather && !(0.0..1.0).contains(factor) {
+            bail!("the factor of weather at {at_s} s is the part that is lost, from 0 to 1");
+        }
+        if *kind == FaultKind::Throttle && !(*factor > 0.0 && *factor < 1.0) {
+            bail!("the factor of a throttle at {at_s} s is a part of a core, between 0 and 1");
+        }
+        let count = if kind.concerns_workers() { self.fleet.workers } else { self.schedulers };
+        if let Some(unknown) = fault.who.iter().chain(&fault.to).find(|who| **who >= count) {
+            bail!("a {kind:?} at {at_s} s names number {unknown}; there are {count}");
+        }
+        Ok(())
     }
 
     /// Jobs a second that the fleet can do.
     pub fn capacity(&self) -> f64 {
         let [from, to] = self.fleet.speed;
         let slots = self.fleet.workers as f64 * f64::from(self.fleet.slots) * (from + to) / 2.0;
-        let shares: f64 = self.class.iter().map(|c| c.share).sum();
-        let mean = |c: &Class| c.share / shares * c.mean_ms * f64::from(c.slots);
+        let shares: f64 = self.class.iter().map(|class| class.share).sum();
+        let mean = |class: &Class| class.share / shares * class.mean_ms * f64::from(class.slots);
         1e3 * slots / self.class.iter().map(mean).sum::<f64>()
     }
 
@@ -355,9 +364,19 @@
 }
 
 impl FaultKind {
-    /// Whether it befalls workers; else schedulers or discovery.
+    /// Whether it concerns workers, not schedulers or discovery.
     pub fn concerns_workers(self) -> bool {
-        use FaultKind::*;
-        matches!(self, Crash | Hang | Slow | Refuse | Break | Drain | Twice | Late | Maint)
+        matches!(
+            self,
+            FaultKind::Crash
+                | FaultKind::Hang
+                | FaultKind::Slow
+                | FaultKind::Refuse
+                | FaultKind::Break
+                | FaultKind::Drain
+                | FaultKind::Twice
+                | FaultKind::Late
+                | FaultKind::Maint
+        )
     }
 }
--- a/crates/testbed/src/schedulers.rs
+++ b/crates/testbed/src/schedulers.rs
@@ -1,4 +1,4 @@
-//! The real program, one or several of it, started and stopped as its operators would.
+//! Processes of the real program, started and stopped as operators would.
 
 use crate::journal::{Journal, Observation};
 use crate::relay::Relay;
@@ -15,54 +15,65 @@
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 
-/// A scheduler takes clients within this time, or the run has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A scheduler that does not start or end within this time fails the run.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// After SIGTERM a scheduler has the longest deadline, this many milliseconds of it at most ...
-const LONGEST_MS: f64 = 3_000.0;
-/// ... and this many more.
-pub const BESIDES_MS: f64 = 700.0;
-/// Signals in series come so close together.
-const BETWEEN_SIGNALS: Duration = Duration::from_millis(30);
+/// The most of the longest deadline that operators grant after SIGTERM, in milliseconds.
+const MAX_DEADLINE_MS: f64 = 3_000.0;
+/// What operators grant beyond the longest deadline, in milliseconds.
+pub const SHUTDOWN_GRACE_MS: f64 = 700.0;
+/// Between two signals of a series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Where a scheduler is found: an address of its own for clients and one for operators, free when asked for.
+/// The addresses of a scheduler.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
-    /// For clients and for news.
+pub struct Addresses {
+    /// For clients, and for workers' calls.
     pub listen: SocketAddr,
-    /// For operators.
+    /// For operators: the admin interface.
     pub mgmt: SocketAddr,
 }
 
-/// An address that nobody uses now. Guards against: a port that a connection going out takes before a scheduler has it. Those
-/// leave from 127.0.0.1; each of these is on a host of its own, as far as there are any.
+/// An address that nobody uses now, on a host of its own as far as there are any: on 127.0.0.1 an outgoing connection
+/// could take the port before the scheduler does.
 ///
 /// # Errors
-/// The system has none.
+/// The operating system has none.
 pub fn free_address() -> Result<SocketAddr> {
     static COUNT: AtomicU32 = AtomicU32::new(0);
-    let host = |n: u32| (n % 250) as u8 + 1;
-    let (process, nth) = (host(std::process::id()), host(COUNT.fetch_add(1, Ordering::Relaxed)));
-    Ok(TcpListener::bind((Ipv4Addr::new(127, 83, process, nth), 0))?.local_addr()?)
+    let octet = |number: u32| (number % 250) as u8 + 1;
+    let process = octet(std::process::id());
+    let count = octet(COUNT.fetch_add(1, Ordering::Relaxed));
+    let listener = TcpListener::bind((Ipv4Addr::new(127, 83, process, count), 0))?;
+    Ok(listener.local_addr()?)
 }
 
-/// The name under which others know a scheduler.
-fn member(n: usize) -> String {
-    format!("s{n}")
+/// The name of a scheduler as a member of a group.
+fn member_name(number: usize) -> String {
+    format!("s{number}")
 }
 
-/// One scheduler.
+/// What a scheduler believes of all members.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct View {
+    /// A letter for each member, as in [`Observation::View`].
+    states: String,
+    minority: bool,
+}
+
+/// One scheduler, with one process after another.
 pub struct Scheduler {
     number: usize,
-    place: Place,
+    addresses: Addresses,
     binary: PathBuf,
     folder: PathBuf,
     discovery: SocketAddr,
-    /// The list that each of its processes starts with: the first that there was.
-    known: serde_json::Value,
-    /// What is in its setup on membership.
+    /// The endpoint list that each of its processes starts with: the first that there was.
+    known_endpoints: serde_json::Value,
+    /// The `<members>` element of its setup; empty where it is no member.
     members: String,
-    seen: Option<(String, bool)>,
+    /// The view that was noted last.
+    noted_view: Option<View>,
     child: Option<Child>,
     /// How many processes there have been.
     starts: u32,
@@ -70,14 +81,14 @@
 }
 
 impl Scheduler {
-    /// Writes its files; nothing is started yet.
+    /// Creates its folder; nothing is started yet.
     ///
     /// # Errors
-    /// A file cannot be written.
+    /// The folder cannot be created.
     pub fn new(
         number: usize,
         binary: &Path,
-        place: Place,
+        addresses: Addresses,
         discovery: SocketAddr,
         out: &Path,
         journal: Journal,
@@ -85,39 +96,37 @@
         let folder = out.join(format!("scheduler-{number}"));
         std::fs::create_dir_all(&folder).with_context(|| format!("{}", folder.display()))?;
         let folder = folder.canonicalize()?;
-        let (child, starts, members, seen) = (None, 0, String::new(), None);
-        let (binary, known) = (binary.into(), serde_json::Value::Null);
         Ok(Scheduler {
             number,
-            place,
-            binary,
+            addresses,
+            binary: binary.into(),
             folder,
             discovery,
-            known,
-            members,
-            seen,
-            child,
-            starts,
+            known_endpoints: serde_json::Value::Null,
+            members: String::new(),
+            noted_view: None,
+            child: None,
+            starts: 0,
             journal,
         })
     }
 
-    /// Has each of its processes start with this list.
+    /// Has each of its processes start with this endpoint list.
     ///
     /// # Errors
     /// It is no JSON.
-    pub fn knowing(self, list: &str) -> Result<Scheduler> {
-        Ok(Scheduler { known: serde_json::from_str(list)?, ..self })
+    pub fn with_known_endpoints(self, list: &str) -> Result<Scheduler> {
+        Ok(Scheduler { known_endpoints: serde_json::from_str(list)?, ..self })
     }
 
-    /// Makes it a member of all that the relay joins.
+    /// Makes it a member of the group that the relay connects.
     pub fn with_members(mut self, members: &Members, relay: &Relay) -> Scheduler {
         let n = self.number;
         let seeds = relay.known.iter().take(3).map(|addr| format!("<seed addr=\"{addr}\"/>"));
         let seeds: String = seeds.collect();
         self.members = format!(
             "<members name=\"{}\" zone=\"z{}\" listen=\"{}\" advertise=\"{}\" probe=\"{}ms\" suspicion=\"{}ms\" removal=\"{}ms\">{seeds}</members>",
-            member(n), n % members.zones.max(1), relay.own[n], relay.known[n], members.probe_ms, members.suspicion_ms, members.probe_ms,
+            member_name(n), n % members.zones.max(1), relay.own[n], relay.known[n], members.probe_ms, members.suspicion_ms, members.probe_ms,
         );
         self
     }
@@ -133,11 +142,11 @@
                 "GoalTimeMs": c.goal_ms, "HardLimitMs": c.give_up_ms, "LateValue": 0.3, "Credit": 1.0})
         };
         let classes: Vec<_> = scenario.class.iter().map(service).collect();
-        json!({"name": format!("lab-{}", self.number), "listen": self.place.listen.to_string(),
+        json!({"name": format!("lab-{}", self.number), "listen": self.addresses.listen.to_string(),
             "mgmt": mgmt.to_string(), "discovery": self.discovery.to_string(),
             "seed": format!("{:x}", 7 + self.number),
             "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": scenario.sockets},
-            "known": self.known,
+            "known": self.known_endpoints,
             "settings": {"Discovery": "ask", "Siblings": scenario.schedulers, "Zones": ["a"], "Models": ["k"],
                 "Permissions": {"Cancel": true, "ConnectTimeoutMs": 200, "KeepaliveMs": 10_000, "MaxAttempts": 5,
                     "MaxRetryAfterMs": 60_000, "RetryAfter": true, "SecondCopies": true, "Probes": true},
@@ -166,19 +175,19 @@
         command.kill_on_drop(true).spawn().with_context(|| format!("{}", self.binary.display()))
     }
 
-    /// Starts it and waits until it takes clients.
+    /// Starts a process and waits until it accepts clients.
     ///
     /// # Errors
     /// It does not start.
     pub async fn start(&mut self, scenario: &Scenario) -> Result<()> {
-        self.child = Some(self.spawn(scenario, self.place.mgmt)?);
-        self.wait_until(self.place.listen, "GET /up").await?;
+        self.child = Some(self.spawn(scenario, self.addresses.mgmt)?);
+        self.wait_until(self.addresses.listen, "GET /up").await?;
         self.journal.write(Observation::Up { scheduler: self.number });
         Ok(())
     }
 
     async fn wait_until(&mut self, addr: SocketAddr, call: &str) -> Result<()> {
-        let until = std::time::Instant::now() + PATIENCE;
+        let until = std::time::Instant::now() + START_TIMEOUT;
         while std::time::Instant::now() < until {
             if matches!(ask(addr, call).await, Ok((200, _))) {
                 return Ok(());
@@ -192,7 +201,7 @@
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        bail!("scheduler {} does not take clients after {PATIENCE:?}", self.number)
+        bail!("scheduler {} does not take clients after {START_TIMEOUT:?}", self.number)
     }
 
     fn signal(child: &Child, signal: Signal) -> Result<()> {
@@ -200,20 +209,20 @@
         Ok(kill_process(id.context("the process has ended")?, signal)?)
     }
 
-    /// Kills it outright and starts it again.
+    /// Kills its process outright and starts another.
     ///
     /// # Errors
     /// It does not start again.
-    pub async fn kill(&mut self, scenario: &Scenario) -> Result<()> {
-        self.down().await?;
+    pub async fn kill_and_restart(&mut self, scenario: &Scenario) -> Result<()> {
+        self.kill().await?;
         self.start(scenario).await
     }
 
-    /// Kills it outright.
+    /// Kills its process outright.
     ///
     /// # Errors
-    /// The system does not do it.
-    pub async fn down(&mut self) -> Result<()> {
+    /// The operating system does not do it.
+    pub async fn kill(&mut self) -> Result<()> {
         if let Some(mut child) = self.child.take() {
             self.journal.write(Observation::Killed { scheduler: self.number });
             child.kill().await?;
@@ -221,16 +230,23 @@
         Ok(())
     }
 
-    /// Stops it, or lets it go on.
+    /// Stops its process by SIGSTOP.
     ///
     /// # Errors
     /// It has ended.
-    pub fn pause(&self, stop: bool) -> Result<()> {
-        let signal = if stop { Signal::STOP } else { Signal::CONT };
-        Scheduler::signal(self.child.as_ref().context("it does not run")?, signal)
+    pub fn pause(&self) -> Result<()> {
+        Scheduler::signal(self.child.as_ref().context("it does not run")?, Signal::STOP)
     }
 
-    /// Has it end by SIGTERM, and waits for that.
+    /// Lets its process go on by SIGCONT.
+    ///
+    /// # Errors
+    /// It has ended.
+    pub fn resume(&self) -> Result<()> {
+        Scheduler::signal(self.child.as_ref().context("it does not run")?, Signal::CONT)
+    }
+
+    /// Ends its process by SIGTERM, and waits for that.
     ///
     /// # Errors
     /// It does not end.
@@ -238,18 +254,19 @@
         let Some(mut child) = self.child.take() else { return Ok(()) };
         self.journal.write(Observation::Terminated { scheduler: self.number });
         Scheduler::signal(&child, Signal::TERM)?;
-        let code =
-            tokio::time::timeout(PATIENCE, child.wait()).await.context("it does not end on SIGTERM")??;
+        let code = tokio::time::timeout(START_TIMEOUT, child.wait())
+            .await
+            .context("it does not end on SIGTERM")??;
         self.journal.write(Observation::Exited { scheduler: self.number, code: code.code() });
         Ok(())
     }
 
-    /// Where clients reach it.
-    pub fn listens(&self) -> SocketAddr {
-        self.place.listen
+    /// The address for clients.
+    pub fn client_address(&self) -> SocketAddr {
+        self.addresses.listen
     }
 
-    /// Sends it SIGHUP and SIGTERM several times, close together.
+    /// Sends SIGHUP and SIGTERM several times in quick succession.
     ///
     /// # Errors
     /// It has ended.
@@ -260,22 +277,22 @@
                 self.journal.write(Observation::Terminated { scheduler: self.number });
             }
             Scheduler::signal(child, signal)?;
-            tokio::time::sleep(BETWEEN_SIGNALS).await;
+            tokio::time::sleep(SIGNAL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Has it end, and kills it at the earliest moment that operators allow: its longest deadline (3 s at most) and 0.7 s after
-    /// SIGTERM.
+    /// Ends its process by SIGTERM, and kills it at the earliest moment that operators allow: after its longest deadline
+    /// (3 s at most) and 0.7 s.
     ///
     /// # Errors
-    /// The system does not do it.
+    /// The operating system does not do it.
     pub async fn end_by_deadline(&mut self, scenario: &Scenario) -> Result<()> {
         let Some(mut child) = self.child.take() else { return Ok(()) };
         self.journal.write(Observation::Terminated { scheduler: self.number });
         Scheduler::signal(&child, Signal::TERM)?;
-        let longest = scenario.class.iter().map(|c| c.give_up_ms).fold(0.0, f64::max).min(LONGEST_MS);
-        let until_kill = Duration::from_secs_f64((longest + BESIDES_MS) / 1e3);
+        let longest = scenario.class.iter().map(|c| c.give_up_ms).fold(0.0, f64::max).min(MAX_DEADLINE_MS);
+        let until_kill = Duration::from_secs_f64((longest + SHUTDOWN_GRACE_MS) / 1e3);
         match tokio::time::timeout(until_kill, child.wait()).await {
             Ok(code) => {
                 self.journal.write(Observation::Exited { scheduler: self.number, code: code?.code() });
@@ -288,10 +305,10 @@
         Ok(())
     }
 
-    /// Starts a new process beside it, which takes over; then has the old one end.
+    /// Starts a successor beside its process, then ends the old one.
     ///
     /// # Errors
-    /// The new one does not get ready, or the old one does not end.
+    /// The successor does not get ready, or the old process does not end.
     pub async fn upgrade(&mut self, scenario: &Scenario) -> Result<()> {
         let mgmt = free_address()?;
         let new = self.spawn(scenario, mgmt)?;
@@ -300,11 +317,12 @@
         let new = self.child.take();
         self.child = old;
         self.terminate().await?;
-        (self.child, self.place.mgmt) = (new, mgmt);
+        self.child = new;
+        self.addresses.mgmt = mgmt;
         Ok(())
     }
 
-    /// Has it read its files again.
+    /// Has it read its files again, by SIGHUP.
     ///
     /// # Errors
     /// It has ended.
@@ -317,10 +335,10 @@
     /// # Errors
     /// It does not answer.
     pub async fn call(&self, line: &str) -> Result<(u16, Vec<u8>)> {
-        ask(self.place.mgmt, line).await
+        ask(self.addresses.mgmt, line).await
     }
 
-    /// Writes down what it believes of the others, if that has changed.
+    /// Notes what it believes of the other members, if that has changed.
     pub async fn note_view(&mut self, schedulers: usize) {
         if self.members.is_empty() {
             return;
@@ -329,19 +347,22 @@
         let Ok(shown) = serde_json::from_slice::<serde_json::Value>(&body) else { return };
         let mut states = vec!['-'; schedulers];
         for m in shown["members"].as_array().into_iter().flatten() {
-            let of = (0..schedulers).find(|n| m["name"] == member(*n));
+            let of = (0..schedulers).find(|n| m["name"] == member_name(*n));
             let letter = m["state"].as_str().and_then(|state| state.chars().next());
-            of.zip(letter).into_iter().for_each(|(n, letter)| states[n] = letter);
+            if let (Some(n), Some(letter)) = (of, letter) {
+                states[n] = letter;
+            }
         }
-        let new = (states.into_iter().collect::<String>(), shown["minority"] == true);
-        if self.seen.as_ref() != Some(&new) {
-            let (states, minority) = new.clone();
-            self.journal.write(Observation::View { scheduler: self.number, states, minority });
-            self.seen = Some(new);
+        let view = View { states: states.into_iter().collect(), minority: shown["minority"] == true };
+        if self.noted_view.as_ref() == Some(&view) {
+            return;
         }
+        let View { states, minority } = view.clone();
+        self.journal.write(Observation::View { scheduler: self.number, states, minority });
+        self.noted_view = Some(view);
     }
 
-    /// Writes its figures down.
+    /// Notes its figures.
     pub async fn note_figures(&self) {
         let Ok((200, body)) = self.call("GET /stats").await else { return };
         let Ok(figures) = serde_json::from_slice::<serde_json::Value>(&body) else { return };
@@ -357,13 +378,13 @@
     }
 }
 
-/// Resident memory of a process, in KiB, where the system tells.
+/// The resident memory of a process in KiB; `None` where the operating system does not say.
 pub fn resident_kib(id: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
     text.lines().find_map(|l| l.strip_prefix("VmRSS:"))?.trim().trim_end_matches(" kB").parse().ok()
 }
 
-/// Asks something of a scheduler, on a connection of its own.
+/// Makes a call on a connection of its own; gives the status and the body.
 ///
 /// # Errors
 /// There is no answer.
--- a/crates/testbed/src/soak.rs
+++ b/crates/testbed/src/soak.rs
@@ -1,5 +1,5 @@
-//! A soak: scenarios drawn from a seed, with 10 to 16 schedulers as processes of their own and faults that overlap in time.
-//! The rules are its oracle.
+//! Soak tests: scenarios drawn from a seed, with 10 to 16 schedulers as processes and faults that overlap in time. The
+//! rules decide whether a run is correct.
 
 use crate::journal::Observation;
 use crate::rules;
@@ -12,22 +12,22 @@
 use rand_chacha::ChaCha8Rng;
 use std::path::Path;
 
-/// For how long clients bring jobs, in seconds.
+/// How long clients submit jobs, in seconds.
 const SECONDS: f64 = 14.0;
-/// Faults begin from the first to the second of these, in seconds.
+/// When faults begin, in seconds, from the first to the second.
 const FAULTS_S: [f64; 2] = [1.0, 11.0];
-/// Faults of a run, from and to.
+/// The number of faults of a run, from the first to the second.
 const FAULTS: [usize; 2] = [8, 14];
-/// Further lines on the list, one of these.
+/// Further workers on the endpoint list: one of these numbers.
 const LISTED: [usize; 4] = [0, 200, 800, 3_200];
-/// A process is held up for so long, in seconds: what the operators' page has deadlines and windows allow for.
-const HELD_UP_S: f64 = 0.12;
-/// Descriptors of each scheduler: a crowd fills them.
+/// How long a process is paused, in seconds: what the operators' page has deadlines and windows allow for.
+const PAUSE_S: f64 = 0.12;
+/// File descriptors of each scheduler: fewer than the connections of a crowd.
 const SOCKETS: usize = 256;
 /// Connections of a crowd.
 const CROWD: f64 = 300.0;
 
-/// What may go wrong, the likeliest named more often.
+/// The kinds of faults, the more likely ones several times.
 const KINDS: [FaultKind; 19] = [
     FaultKind::Crash,
     FaultKind::Hang,
@@ -62,17 +62,18 @@
     }
 }
 
-/// A release of a large fleet: most of the list changes, workers drain right after, and a scheduler starts again by its old list.
+/// A release of a large fleet: most of the endpoint list changes, workers drain right after, and a scheduler starts again
+/// with its old list.
 fn release(rng: &mut ChaCha8Rng, schedulers: usize, workers: usize) -> [Fault; 3] {
     let begin = rng.random_range(FAULTS_S[0]..FAULTS_S[1] / 2.0);
     let mut at = |kind, after, for_s| {
-        let fault = one(rng, kind, schedulers, workers);
+        let fault = fault(rng, kind, schedulers, workers);
         Fault { at_s: begin + after, for_s, ..fault }
     };
     [at(FaultKind::Replace, 0.0, 0.0), at(FaultKind::Drain, 0.3, 5.0), at(FaultKind::Kill, 1.0, 0.0)]
 }
 
-fn one(rng: &mut ChaCha8Rng, kind: FaultKind, schedulers: usize, workers: usize) -> Fault {
+fn fault(rng: &mut ChaCha8Rng, kind: FaultKind, schedulers: usize, workers: usize) -> Fault {
     let at_s = rng.random_range(FAULTS_S[0]..FAULTS_S[1]);
     let count = if kind.concerns_workers() { workers } else { schedulers };
     let first = rng.random_range(0..count);
@@ -80,13 +81,13 @@
     let many =
         if kind.concerns_workers() { rng.random_range(1..=workers / 4) } else { rng.random_range(1..=2) };
     let who = (first..first + many).map(|n| n % count).collect();
-    let for_s = if kind == FaultKind::Pause { HELD_UP_S } else { rng.random_range(0.5..3.0) };
+    let for_s = if kind == FaultKind::Pause { PAUSE_S } else { rng.random_range(0.5..3.0) };
     let factor = if kind == FaultKind::Crowd { CROWD } else { 5.0 };
     Fault { at_s, kind, who, grants: Vec::new(), to: Vec::new(), for_s, factor }
 }
 
-/// What is broken in a run: by what the peers saw, and by what the schedulers themselves count as broken in the logs of the
-/// run, which lie in this folder. Leaves the faults and all that was seen there, if anything is broken.
+/// The broken rules of a run, and the lines of the schedulers' logs in this folder that count something as broken. If
+/// there are any, the faults and the journal are written to the folder.
 ///
 /// # Errors
 /// A log cannot be read.
@@ -108,7 +109,7 @@
     Ok(broken)
 }
 
-/// How the jobs of a run ended, in a line.
+/// How the jobs of a run ended, in a line of text.
 pub fn summary(run: &Run) -> String {
     let count = |is: fn(&Observation) -> bool| run.entries.iter().filter(|e| is(&e.seen)).count();
     let served = count(|s| matches!(s, Observation::Answered { status: 200, .. }));
@@ -133,11 +134,11 @@
     let mut fault: Vec<Fault> = (0..faults)
         .map(|_| {
             let kind = *KINDS.choose(rng).unwrap_or(&FaultKind::Drain);
-            one(rng, kind, schedulers, workers)
+            self::fault(rng, kind, schedulers, workers)
         })
         .collect();
     if seed.is_multiple_of(3) {
-        fault.push(one(rng, FaultKind::Crowd, schedulers, workers));
+        fault.push(self::fault(rng, FaultKind::Crowd, schedulers, workers));
     }
     if listed > 0 {
         fault.extend(release(rng, schedulers, workers));
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,16 +1,16 @@
-//! HTTP/1.1 for the peers, small and strict: messages with a length, one at a time on a connection.
+//! HTTP/1.1 for the stand-ins, small and strict: messages with a length, one at a time on a connection.
 
 use std::io::{Error, ErrorKind, Result};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// More than this of a message is not read.
-const MOST: usize = 1 << 20;
+/// The longest message, in bytes.
+const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A message as it was read.
+/// A message that was read.
 #[derive(Debug, Default)]
 pub struct Message {
-    /// Method and target, or the status.
+    /// Its first line.
     pub line: Line,
     /// Its headers.
     pub headers: Vec<(String, String)>,
@@ -24,19 +24,19 @@
     /// None yet.
     #[default]
     None,
-    /// Of a request.
+    /// Method and target of a request.
     Request(String, String),
-    /// Of an answer.
+    /// The status of a response.
     Status(u16),
 }
 
 impl Message {
-    /// A header.
+    /// The first value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 
-    /// The status of an answer; 0 where it is none.
+    /// The status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         if let Line::Status(status) = self.line {
             status
@@ -62,7 +62,7 @@
 }
 
 impl Wire {
-    /// On a connection that is up.
+    /// Takes over an open connection.
     pub fn new(stream: TcpStream) -> Wire {
         let _ = stream.set_nodelay(true); // a delay at worst
         Wire { stream, buffer: Vec::new() }
@@ -71,7 +71,7 @@
     /// Sends bytes.
     ///
     /// # Errors
-    /// The connection is of no more use.
+    /// The connection has failed.
     pub async fn send(&mut self, bytes: &[u8]) -> Result<()> {
         self.stream.write_all(bytes).await
     }
@@ -89,7 +89,7 @@
                 }
                 continue;
             }
-            if self.buffer.len() > MOST {
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
                 return Err(bad("a message is too long"));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
@@ -140,7 +140,7 @@
         let length = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("Content-Length"));
         let length =
             length.map_or(Ok(0), |(_, v)| v.trim().parse::<usize>()).map_err(|e| bad(&e.to_string()))?;
-        if length > MOST {
+        if length > MAX_MESSAGE_BYTES {
             return Err(bad("a body is too long"));
         }
         if self.buffer.len() < taken + length {
--- a/crates/testbed/src/workers.rs
+++ b/crates/testbed/src/workers.rs
@@ -1,5 +1,5 @@
-//! Stand-in workers: a machine each, behind a listener for each scheduler. A job is taken with 202; what becomes of it
-//! is told by calls to the scheduler that sent it.
+//! Stand-in workers: a machine each, behind a listener for each scheduler. A job is accepted with 202; job status updates
+//! go to the scheduler that sent it.
 
 use crate::journal::{Journal, Observation};
 use crate::machine::{Admission, Machine, Work};
@@ -13,38 +13,63 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A machine's time goes in steps of this many milliseconds.
-const STEP: f64 = 2.0;
-/// A call with news is tried so often, with this time between.
-const TRIES: usize = 10;
-const BETWEEN: Duration = Duration::from_millis(100);
-/// Progress is told so often, in milliseconds.
-const PROGRESS: f64 = 1_000.0;
+/// Between two steps of a machine, in milliseconds.
+const STEP_MS: f64 = 2.0;
+/// The most attempts to deliver a job status update.
+const UPDATE_ATTEMPTS: usize = 10;
+/// The pause after an update that was not delivered.
+const UPDATE_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Between two updates on progress, in milliseconds.
+const PROGRESS_MS: f64 = 1_000.0;
+/// How late the updates of a worker are that sends them late.
+const LATE: Duration = Duration::from_secs(1);
 
 /// How a worker misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Misbehavior {
     /// Its process does not run.
     pub dead: bool,
-    /// It turns everything away, unseen.
+    /// It rejects all jobs unread.
     pub refuses: bool,
-    /// It breaks connections before its word that it has a job.
+    /// It closes connections before it answers that it has accepted a job.
     pub breaks: bool,
-    /// It tells everything twice.
+    /// It sends each update twice.
     pub twice: bool,
-    /// It tells everything a second late.
+    /// It sends each update a second late.
     pub late: bool,
 }
 
 struct State {
     machine: Machine,
     misbehavior: Misbehavior,
-    /// Who sent a job, by number.
+    /// The scheduler that sent a job, by the job's id.
     from: HashMap<String, usize>,
     /// The number of its process, which rises with each death: what an earlier one had is lost.
     process: u64,
 }
 
+/// A job and the scheduler that sent it.
+struct SentJob {
+    scheduler: usize,
+    id: String,
+}
+
+/// What a worker has to do.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct Load {
+    slots: u32,
+    queue: usize,
+}
+
+/// What a step of the machine has brought.
+struct Step {
+    begun: Vec<SentJob>,
+    done: Vec<SentJob>,
+    /// Jobs whose progress is due.
+    running: Vec<SentJob>,
+    load: Load,
+}
+
 /// A worker.
 pub struct Worker {
     /// Its number.
@@ -52,9 +77,9 @@
     state: Mutex<State>,
     /// The present process's number; connections of earlier ones end.
     processes: watch::Sender<u64>,
-    /// Where schedulers are told, by their numbers.
+    /// Where updates go, by scheduler.
     schedulers: Vec<SocketAddr>,
-    /// Where it listens for each scheduler.
+    /// Its address for each scheduler.
     pub addrs: Vec<SocketAddr>,
     plan: Arc<Plan>,
     journal: Journal,
@@ -66,10 +91,10 @@
 }
 
 impl Worker {
-    /// Starts one: a listener for each scheduler, and its machine.
+    /// Starts a worker: a listener for each scheduler, and its machine.
     ///
     /// # Errors
-    /// No address could be had.
+    /// The operating system has no free address.
     pub async fn start(
         number: usize,
         scenario: &Scenario,
@@ -77,10 +102,12 @@
         plan: Arc<Plan>,
         journal: Journal,
     ) -> std::io::Result<Arc<Worker>> {
-        let f = &scenario.fleet;
-        let machine = Machine::new(f.slots, f.queue, scenario.speed_of(number), f.cold_from, f.warm_ms);
+        let fleet = &scenario.fleet;
+        let speed = scenario.speed_of(number);
+        let machine = Machine::new(fleet.slots, fleet.queue, speed, fleet.cold_from, fleet.warm_ms);
         let state = State { machine, misbehavior: Misbehavior::default(), from: HashMap::new(), process: 0 };
-        let (mut addrs, mut listeners) = (Vec::new(), Vec::new());
+        let mut addrs = Vec::new();
+        let mut listeners = Vec::new();
         for _ in &schedulers {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             addrs.push(listener.local_addr()?);
@@ -116,14 +143,14 @@
         change(misbehavior, machine);
     }
 
-    /// Its process dies: connections break, and what it had is lost.
+    /// Ends its process: connections are closed, and its jobs are lost.
     pub fn die(&self) {
         self.journal.write(Observation::Died { worker: self.number });
         let mut state = self.state();
         state.machine.crash(self.journal.now());
         state.misbehavior = Misbehavior { dead: true, ..Misbehavior::default() };
         state.process += 1;
-        // Whoever watches over the machine tells of what was lost.
+        // The supervisor of the machine sends these updates.
         let lost: Vec<(String, usize)> = state.from.drain().collect();
         let process = state.process;
         drop(state);
@@ -136,7 +163,7 @@
         }
     }
 
-    /// It starts again, cold.
+    /// Starts a new process, in slow start.
     pub fn revive(&self) {
         self.journal.write(Observation::Started { worker: self.number });
         let mut state = self.state();
@@ -151,7 +178,7 @@
                 (state.misbehavior.dead, state.process)
             };
             if dead {
-                continue; // the connection ends here
+                continue; // this closes the connection
             }
             let (worker, mut processes) = (self.clone(), self.processes.subscribe());
             tokio::spawn(async move {
@@ -189,7 +216,7 @@
         }
     }
 
-    /// Its load, as reports have it.
+    /// Its load report.
     fn report(&self) -> String {
         let state = self.state();
         format!("inflight={}, x0={}", state.machine.jobs().0, state.machine.free())
@@ -225,7 +252,7 @@
                 write(0, true);
                 None
             }
-            // One that is here already goes on.
+            // A job that is here already goes on.
             Admission::Accepted | Admission::Duplicate => {
                 write(202, true);
                 Some(wire::answer(202, &[], b""))
@@ -237,73 +264,94 @@
         }
     }
 
-    /// The machine at work, for as long as the test bed runs.
+    /// Runs the machine for as long as the test bed runs.
     async fn run(self: Arc<Worker>) {
-        let mut ticks = tokio::time::interval(Duration::from_secs_f64(STEP / 1e3));
+        let mut ticks = tokio::time::interval(Duration::from_secs_f64(STEP_MS / 1e3));
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
-        let (mut told, mut load) = (0.0, (0, 0));
+        let mut progress_told_at = 0.0;
+        let mut noted_load = Load::default();
         loop {
             ticks.tick().await;
             let now = self.journal.now();
-            let mut state = self.state();
-            if state.misbehavior.dead {
-                continue;
+            let tells_progress = now - progress_told_at >= PROGRESS_MS;
+            let Some(step) = self.step(now, tells_progress) else { continue };
+            if tells_progress {
+                progress_told_at = now;
             }
-            let (begun, done) = state.machine.advance(now);
-            let progress = now - told >= PROGRESS;
-            told = if progress { now } else { told };
-            let hangs = state.machine.hangs;
-            let from = |state: &State, id: &str| state.from.get(id).copied();
-            let begun: Vec<_> = begun.into_iter().filter_map(|id| Some((from(&state, &id)?, id))).collect();
-            let done: Vec<_> =
-                done.into_iter().filter_map(|id| Some((state.from.remove(&id)?, id))).collect();
-            let running: Vec<_> = match progress && !hangs {
-                true => state.from.iter().map(|(id, s)| (*s, id.clone())).collect(),
-                false => Vec::new(),
-            };
-            let (_, queue) = state.machine.jobs();
-            let now_load = (state.machine.in_use(), queue);
-            drop(state);
-            if now_load != load {
-                load = now_load;
-                self.journal.write(Observation::Load { worker: self.number, slots: load.0, queue: load.1 });
+            if step.load != noted_load {
+                noted_load = step.load;
+                let Load { slots, queue } = step.load;
+                self.journal.write(Observation::Load { worker: self.number, slots, queue });
             }
-            let from = name(self.number);
-            for (scheduler, id) in running {
-                self.notify(
-                    scheduler,
-                    format!(r#"{{"id":"{id}","from":"{from}","state":"running","share":0.5}}"#),
-                );
+            self.publish(step);
+        }
+    }
+
+    /// Advances the machine; `None` while its process does not run.
+    fn step(&self, now: f64, tells_progress: bool) -> Option<Step> {
+        let mut guard = self.state();
+        let state = &mut *guard;
+        if state.misbehavior.dead {
+            return None;
+        }
+        let (begun_ids, done_ids) = state.machine.advance(now);
+        let mut begun = Vec::new();
+        for id in begun_ids {
+            if let Some(scheduler) = state.from.get(&id) {
+                begun.push(SentJob { scheduler: *scheduler, id });
             }
-            for (scheduler, id) in begun {
-                self.journal.write(Observation::Begun { job: id.clone(), worker: self.number });
-                self.notify(scheduler, format!(r#"{{"id":"{id}","from":"{from}","state":"started"}}"#));
+        }
+        let mut done = Vec::new();
+        for id in done_ids {
+            if let Some(scheduler) = state.from.remove(&id) {
+                done.push(SentJob { scheduler, id });
             }
-            for (scheduler, id) in done {
-                self.journal.write(Observation::Done { job: id.clone(), worker: self.number });
-                let load = self.report().replace("inflight=", r#""inflight":"#).replace("x0=", r#""x0":"#);
-                let result = result_of(&id);
-                let news = format!(
-                    r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}","load":{{{load}}}}}"#
-                );
-                self.notify(scheduler, news);
+        }
+        let mut running = Vec::new();
+        if tells_progress && !state.machine.hangs {
+            for (id, scheduler) in &state.from {
+                running.push(SentJob { scheduler: *scheduler, id: id.clone() });
             }
         }
+        let (_, queue) = state.machine.jobs();
+        Some(Step { begun, done, running, load: Load { slots: state.machine.in_use(), queue } })
+    }
+
+    /// Notes what a step has done, and tells the schedulers.
+    fn publish(&self, step: Step) {
+        let from = name(self.number);
+        for SentJob { scheduler, id } in step.running {
+            let update = format!(r#"{{"id":"{id}","from":"{from}","state":"running","share":0.5}}"#);
+            self.notify(scheduler, update);
+        }
+        for SentJob { scheduler, id } in step.begun {
+            self.journal.write(Observation::Begun { job: id.clone(), worker: self.number });
+            self.notify(scheduler, format!(r#"{{"id":"{id}","from":"{from}","state":"started"}}"#));
+        }
+        for SentJob { scheduler, id } in step.done {
+            self.journal.write(Observation::Done { job: id.clone(), worker: self.number });
+            let load = self.report().replace("inflight=", r#""inflight":"#).replace("x0=", r#""x0":"#);
+            let result = result_of(&id);
+            let update = format!(
+                r#"{{"id":"{id}","from":"{from}","state":"done","result":"{result}","load":{{{load}}}}}"#
+            );
+            self.notify(scheduler, update);
+        }
     }
 
-    /// Tells a scheduler something, again and again until it has an answer.
+    /// Sends a scheduler a job status update, repeatedly until it is answered.
     fn notify(&self, scheduler: usize, body: String) {
         let misbehavior = self.state().misbehavior;
         let Some(addr) = self.schedulers.get(scheduler).copied() else { return };
         tokio::spawn(async move {
             if misbehavior.late {
-                tokio::time::sleep(Duration::from_secs(1)).await;
+                tokio::time::sleep(LATE).await;
             }
             for _ in 0..=usize::from(misbehavior.twice) {
-                for _ in 0..TRIES {
+                for _ in 0..UPDATE_ATTEMPTS {
                     match call(addr, &body).await {
                         Ok(200 | 204 | 400) => break,
-                        _ => tokio::time::sleep(BETWEEN).await,
+                        _ => tokio::time::sleep(UPDATE_RETRY_PAUSE).await,
                     }
                 }
             }
@@ -311,13 +359,13 @@
     }
 }
 
-/// A time as headers have it: a number with `m` for milliseconds or `u` for microseconds.
+/// A time in a header, in milliseconds: a number with `m` for milliseconds or `u` for microseconds.
 fn milliseconds(text: &str) -> Option<f64> {
     let number = |unit: char| text.strip_suffix(unit).and_then(|number| number.parse::<f64>().ok());
     number('m').or_else(|| number('u').map(|micros| micros / 1e3))
 }
 
-/// What a worker makes of a job.
+/// The result of a job.
 pub fn result_of(id: &str) -> String {
     format!("made for {id}")
 }
