--- a/crates/testbed/examples/member_cost.rs
+++ b/crates/testbed/examples/member_cost.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{bail, Context, Result};
 use postusher_membership::{Action, Config, Member, MemberState};
-use postusher_testbed::virtual_net::name;
+use postusher_testbed::virtual_net::name_of;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::Path;
@@ -125,7 +125,7 @@
     seed.set_nonblocking(true)?;
     let mut others = Others { begun: Instant::now(), members: Vec::new() };
     for n in 1..members {
-        let config = Config::new("postusher", &name(n), &format!("z{}", n % 3), addr(n));
+        let config = Config::new("postusher", &name_of(n), &format!("z{}", n % 3), addr(n));
         let seeds = if n == 1 { Vec::new() } else { vec![addr(1)] };
         let socket = UdpSocket::bind(addr(n))?;
         socket.set_nonblocking(true)?;
--- a/crates/testbed/examples/members.rs
+++ b/crates/testbed/examples/members.rs
@@ -6,7 +6,7 @@
 use postusher_membership::{Mechanisms, MemberStatus};
 use postusher_testbed::detectors::{self, Case, Way};
 use postusher_testbed::schedulers::resident_kib;
-use postusher_testbed::virtual_net::{Links, Net, Seen};
+use postusher_testbed::virtual_net::{LinkConditions, StatusChange, Traffic, VirtualNetwork};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -16,29 +16,31 @@
 
 const INTERVAL: f64 = 1_000.0;
 
-fn gone_wrongly(net: &Net, right: &[usize]) -> usize {
-    let wrong = |s: &&Seen| s.status == MemberStatus::Removed && !right.contains(&s.of);
-    net.seen.iter().filter(wrong).count()
+fn gone_wrongly(network: &VirtualNetwork, right: &[usize]) -> usize {
+    let wrong = |s: &&StatusChange| s.status == MemberStatus::Removed && !right.contains(&s.subject);
+    network.status_changes.iter().filter(wrong).count()
 }
 
 /// Times to know of a crash, of each member that is left, in intervals, in order.
 fn crash(n: usize, loss: f64, seeds: u64, mechanisms: Mechanisms) -> (Vec<f64>, usize, usize) {
     let (mut times, mut unknown, mut wrong) = (Vec::new(), 0, 0);
     for seed in 0..seeds {
-        let mut net = Net::settled(n, 3, 1_000 + seed, mechanisms);
-        net.links(Links { loss, ..Links::default() });
-        let at = net.now();
-        net.kill(n / 2);
-        net.run(25_000.0);
+        let mut network = VirtualNetwork::settled(n, 3, 1_000 + seed, mechanisms);
+        network.set_link_conditions(LinkConditions { loss, ..LinkConditions::default() });
+        let at = network.now();
+        network.crash(n / 2);
+        network.run_for(25_000.0);
         for by in (0..n).filter(|by| *by != n / 2) {
-            let seen =
-                net.seen.iter().find(|s| s.by == by && s.of == n / 2 && s.status == MemberStatus::Removed);
+            let seen = network
+                .status_changes
+                .iter()
+                .find(|s| s.observer == by && s.subject == n / 2 && s.status == MemberStatus::Removed);
             match seen {
                 Some(seen) => times.push((seen.at - at) / INTERVAL),
                 None => unknown += 1,
             }
         }
-        wrong += gone_wrongly(&net, &[n / 2]);
+        wrong += gone_wrongly(&network, &[n / 2]);
     }
     times.sort_by(f64::total_cmp);
     (times, unknown, wrong)
@@ -100,10 +102,10 @@
 }
 
 /// Seconds until this holds, within a bound.
-fn until(net: &mut Net, most: usize, holds: impl Fn(&Net) -> bool) -> String {
+fn until(network: &mut VirtualNetwork, most: usize, holds: impl Fn(&VirtualNetwork) -> bool) -> String {
     for second in 1..=most {
-        net.run(1_000.0);
-        if holds(net) {
+        network.run_for(1_000.0);
+        if holds(network) {
             return format!("{second} s");
         }
     }
@@ -112,25 +114,25 @@
 
 /// The program's own way on a case of the other ways.
 fn own(case: &Case, seed: u64, mechanisms: Mechanisms) -> detectors::Found {
-    let mut net = Net::settled(case.members, 3, seed, mechanisms);
-    net.links(case.links);
-    case.cut.iter().for_each(|(from, to)| net.cut(*from, *to));
-    case.killed.into_iter().for_each(|n| net.kill(n));
-    let begun = net.now();
+    let mut network = VirtualNetwork::settled(case.members, 3, seed, mechanisms);
+    network.set_link_conditions(case.links);
+    case.cut.iter().for_each(|(from, to)| network.cut_link(*from, *to));
+    case.killed.into_iter().for_each(|n| network.crash(n));
+    let begun = network.now();
     if let Some((n, by)) = case.stopped {
-        net.stop(n);
-        net.run(by);
-        net.go_on(n);
+        network.pause(n);
+        network.run_for(by);
+        network.resume(n);
     }
-    net.run(begun + case.lasts - net.now());
-    let (known, wrong) = net
-        .seen
+    network.run_for(begun + case.lasts - network.now());
+    let (known, wrong) = network
+        .status_changes
         .iter()
         .filter(|s| s.status == MemberStatus::Removed)
-        .partition::<Vec<&Seen>, _>(|s| case.killed == Some(s.of));
+        .partition::<Vec<&StatusChange>, _>(|s| case.killed == Some(s.subject));
     detectors::Found {
         known: known.into_iter().map(|s| s.at - begun).collect(),
-        wrong: wrong.into_iter().map(|s| (s.by, s.of)).collect(),
+        wrong: wrong.into_iter().map(|s| (s.observer, s.subject)).collect(),
     }
 }
 
@@ -139,7 +141,7 @@
 
 fn cases() -> Vec<Befalls> {
     let calm = Case { members: 10, lasts: 60_000.0, ..Case::default() };
-    let weather = |loss| Links { loss, twice: 0.1, delay: (150.0, 450.0) };
+    let weather = |loss| LinkConditions { loss, duplication: 0.1, min_delay: 150.0, max_delay: 450.0 };
     let hours = |loss| Case { links: weather(loss), lasts: 1_800_000.0, ..calm.clone() };
     let stopped = |by| Case { stopped: Some((4, by)), ..calm.clone() };
     let cut = |pairs: &[(usize, usize)]| Case { cut: pairs.iter().copied().collect(), ..calm.clone() };
@@ -240,7 +242,10 @@
     for (n, clusters) in [(10usize, 100usize), (100, 5), (300, 2), (1_000, 1)] {
         let resident = || resident_kib(std::process::id()).context("no VmRSS");
         let before = resident()?;
-        kept.extend((0..clusters as u64).map(|seed| Net::settled(n, 3, 6_000 + seed, Mechanisms::default())));
+        kept.extend(
+            (0..clusters as u64)
+                .map(|seed| VirtualNetwork::settled(n, 3, 6_000 + seed, Mechanisms::default())),
+        );
         let each = (resident()? - before) as f64 / (n * clusters) as f64;
         writeln!(page, "| {n} | {each:.0} | {:.0} |", 1024.0 * each / n as f64)?;
     }
@@ -249,40 +254,42 @@
 
 /// What 300 members make of events that befall most of them.
 fn mass(page: &mut String) -> Result<()> {
-    let whole = |net: &Net| net.agree() && (0..300).all(|n| !net.machine(n).is_minority());
-    let mut net = Net::new(300, 3, 13, Mechanisms::default());
-    (0..30).for_each(|n| net.start(n));
-    net.run(20_000.0);
-    (30..300).for_each(|n| net.start(n));
+    let whole =
+        |network: &VirtualNetwork| network.all_agree() && (0..300).all(|n| !network.member(n).is_minority());
+    let mut network = VirtualNetwork::new(300, 3, 13, Mechanisms::default());
+    (0..30).for_each(|n| network.start(n));
+    network.run_for(20_000.0);
+    (30..300).for_each(|n| network.start(n));
     writeln!(page, "\n## 300 members\n\n| what | comes about |\n| --- | --- |")?;
     writeln!(
         page,
         "| 270 of 300 start in one millisecond | all agree after {} |",
-        until(&mut net, 60, whole)
+        until(&mut network, 60, whole)
     )?;
-    net.run(60_000.0);
-    net.seen.clear();
-    (0..210).for_each(|n| net.kill(n));
-    net.run(60_000.0);
-    let know = (210..300).filter(|n| net.machine(*n).is_minority()).count();
-    let removed = gone_wrongly(&net, &[]);
+    network.run_for(60_000.0);
+    network.status_changes.clear();
+    (0..210).for_each(|n| network.crash(n));
+    network.run_for(60_000.0);
+    let know = (210..300).filter(|n| network.member(*n).is_minority()).count();
+    let removed = gone_wrongly(&network, &[]);
     writeln!(
         page,
         "| 210 killed at once | {know} of 90 know that they are the smaller side; removals {removed} |"
     )?;
-    (0..210).for_each(|n| net.start(n));
-    writeln!(page, "| they start again | all agree after {} |", until(&mut net, 120, whole))?;
-    net.run(60_000.0);
-    net.seen.clear();
+    (0..210).for_each(|n| network.start(n));
+    writeln!(page, "| they start again | all agree after {} |", until(&mut network, 120, whole))?;
+    network.run_for(60_000.0);
+    network.status_changes.clear();
     let (zone, rest): (Vec<usize>, Vec<usize>) = (0..300).partition(|n| n % 3 == 0);
-    net.cut_apart(&zone, &rest);
-    net.run(60_000.0);
-    let know = zone.iter().filter(|n| net.machine(**n).is_minority()).count();
-    let agree = rest.iter().filter(|n| net.there(**n).into_iter().collect::<Vec<_>>() == rest).count();
-    let wrong = gone_wrongly(&net, &zone);
+    network.partition(&zone, &rest);
+    network.run_for(60_000.0);
+    let know = zone.iter().filter(|n| network.member(**n).is_minority()).count();
+    let agree =
+        rest.iter().filter(|n| network.alive_in_view_of(**n).into_iter().collect::<Vec<_>>() == rest).count();
+    let wrong = gone_wrongly(&network, &zone);
     writeln!(page, "| a zone of 100 cut off both ways | {know} of 100 know it; {agree} of the other 200 believe in just those 200; the smaller side removes {wrong} |")?;
-    net.heal();
-    writeln!(page, "| the cut heals | all agree after {} |", until(&mut net, 200, whole))?;
+    network.heal_links();
+    writeln!(page, "| the cut heals | all agree after {} |", until(&mut network, 200, whole))?;
     Ok(())
 }
 
@@ -343,10 +350,15 @@
             let mut wrong = 0;
             for few in seeds.chunks(5) {
                 wrong += each(few, |seed| {
-                    let mut net = Net::settled(10, 3, 2_000 + seed, *mechanisms);
-                    net.links(Links { loss, twice: 0.1, delay: (150.0, 450.0) });
-                    net.run(lasts * 3_600_000.0);
-                    gone_wrongly(&net, &[])
+                    let mut network = VirtualNetwork::settled(10, 3, 2_000 + seed, *mechanisms);
+                    network.set_link_conditions(LinkConditions {
+                        loss,
+                        duplication: 0.1,
+                        min_delay: 150.0,
+                        max_delay: 450.0,
+                    });
+                    network.run_for(lasts * 3_600_000.0);
+                    gone_wrongly(&network, &[])
                 })
                 .into_iter()
                 .sum::<usize>();
@@ -364,13 +376,15 @@
     let paused = each(&pauses, |pause| {
         let (mut removed, mut others) = (0, 0);
         for seed in 0..20 {
-            let mut net = Net::settled(10, 3, 3_000 + seed, all);
-            net.stop(4);
-            net.run(pause * INTERVAL);
-            net.go_on(4);
-            net.run(20_000.0);
-            removed += usize::from(net.seen.iter().any(|s| s.of == 4 && s.status == MemberStatus::Removed));
-            others += gone_wrongly(&net, &[4]);
+            let mut network = VirtualNetwork::settled(10, 3, 3_000 + seed, all);
+            network.pause(4);
+            network.run_for(pause * INTERVAL);
+            network.resume(4);
+            network.run_for(20_000.0);
+            removed += usize::from(
+                network.status_changes.iter().any(|s| s.subject == 4 && s.status == MemberStatus::Removed),
+            );
+            others += gone_wrongly(&network, &[4]);
         }
         (removed, others)
     });
@@ -381,13 +395,13 @@
     writeln!(page, "\n## Cost of a member at rest\n\n| members | datagrams a second | bytes a second | heartbeats of each to all, datagrams a second |")?;
     writeln!(page, "| --- | --- | --- | --- |")?;
     let cost = each(&sizes, |n| {
-        let mut net = Net::settled(*n, 3, 4_000, all);
-        net.run(100_000.0);
-        let before: Vec<_> = (0..*n).map(|i| net.sent(i)).collect();
-        net.run(30_000.0);
-        let sum = |f: fn((u64, u64)) -> u64| (0..*n).map(|i| f(net.sent(i)) - f(before[i])).sum::<u64>();
+        let mut network = VirtualNetwork::settled(*n, 3, 4_000, all);
+        network.run_for(100_000.0);
+        let before: Vec<_> = (0..*n).map(|i| network.traffic(i)).collect();
+        network.run_for(30_000.0);
+        let sum = |f: fn(Traffic) -> u64| (0..*n).map(|i| f(network.traffic(i)) - f(before[i])).sum::<u64>();
         let per = |x: u64| x as f64 / *n as f64 / 30.0;
-        (per(sum(|s| s.1)), per(sum(|s| s.0)))
+        (per(sum(|s| s.datagrams)), per(sum(|s| s.bytes)))
     });
     let mut line = Vec::new();
     for (n, (datagrams, bytes)) in sizes.iter().zip(cost) {
--- a/crates/testbed/src/detectors.rs
+++ b/crates/testbed/src/detectors.rs
@@ -2,7 +2,7 @@
 //! Over the same links in virtual time, by the published descriptions; where those leave something open it is taken in their
 //! favour. They are here to be measured, not to be used.
 
-use crate::virtual_net::Links;
+use crate::virtual_net::LinkConditions;
 use rand::seq::SliceRandom;
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -42,7 +42,7 @@
     /// How many members.
     pub members: usize,
     /// The links between them.
-    pub links: Links,
+    pub links: LinkConditions,
     /// Ways that are cut, from one to another, from the second half minute on.
     pub cut: BTreeSet<(usize, usize)>,
     /// One is killed at 30 s.
@@ -190,7 +190,7 @@
     }
 
     fn send(&mut self, from: usize, to: usize, word: Word) {
-        let Links { loss, twice, delay: (least, most) } = self.case.links;
+        let LinkConditions { loss, duplication: twice, min_delay: least, max_delay: most } = self.case.links;
         for _ in 0..1 + usize::from(self.rng.random::<f64>() < twice) {
             let cut = self.now >= BEGIN && self.case.cut.contains(&(from, to));
             let lost = self.rng.random::<f64>() < loss || cut;
--- /dev/null
+++ b/crates/testbed/src/virtual_net/links.rs
@@ -0,0 +1,51 @@
+//! What the links of the virtual network do to messages.
+
+use postusher_membership::Millis;
+use std::collections::BTreeSet;
+
+/// How reliable and how fast every link of a network is.
+#[derive(Clone, Copy, Debug)]
+pub struct LinkConditions {
+    /// Probability that a datagram is lost, 0 to 1.
+    pub loss: f64,
+    /// Probability that a datagram arrives twice, 0 to 1.
+    pub duplication: f64,
+    /// Shortest time in transit, in milliseconds.
+    pub min_delay: Millis,
+    /// Longest time in transit, in milliseconds. Delays are uniform in between, so datagrams may overtake each other.
+    pub max_delay: Millis,
+}
+
+impl Default for LinkConditions {
+    fn default() -> Self {
+        LinkConditions { loss: 0.0, duplication: 0.0, min_delay: 0.5, max_delay: 2.0 }
+    }
+}
+
+/// The links that carry nothing, by direction.
+#[derive(Default)]
+pub(super) struct CutLinks {
+    cut: BTreeSet<(usize, usize)>,
+}
+
+impl CutLinks {
+    /// Cuts the link from one process to another; the opposite direction stays.
+    pub(super) fn cut(&mut self, from: usize, to: usize) {
+        self.cut.insert((from, to));
+    }
+
+    /// All links work again.
+    pub(super) fn heal(&mut self) {
+        self.cut.clear();
+    }
+
+    /// Whether datagrams from one process to another are dropped.
+    pub(super) fn is_cut(&self, from: usize, to: usize) -> bool {
+        self.cut.contains(&(from, to))
+    }
+
+    /// Whether a connection between two processes is impossible: it needs both directions.
+    pub(super) fn is_cut_either_way(&self, one: usize, other: usize) -> bool {
+        self.is_cut(one, other) || self.is_cut(other, one)
+    }
+}
