--- a/crates/node/src/direct/event_loop/attempts.rs
+++ b/crates/node/src/direct/event_loop/attempts.rs
@@ -8,7 +8,7 @@
 use crate::direct::service::{RequestId, RequestState};
 use mio::net::TcpStream;
 use postusher_decision::{AttemptId, AttemptResult, WorkerId};
-use postusher_direct::{request_head, response_head, Framing, Head, Piece, CHUNKS_END};
+use postusher_direct::{request_head, Framing, Head, Piece, ResponseConnection, ResponseHead, LAST_CHUNK};
 use std::net::SocketAddr;
 
 /// A worker's connection without a request is closed after this time.
@@ -146,18 +146,20 @@
     fn begin_answer(&mut self, id: ConnectionId, current: RequestAttempt, head: &Head) {
         let is_shutting_down = self.is_shutting_down();
         let Some(exchange) = self.exchanges.get_mut(&current.request) else { return };
-        let is_head_request = exchange.head.method() == "HEAD";
-        let may_keep = exchange.head.keeps && exchange.is_body_complete && !is_shutting_down;
-        let (bytes, framing, keep_alive) =
-            response_head(head, exchange.head.modern, is_head_request, may_keep);
-        exchange.answer_framing = Some(framing);
+        let connection = ResponseConnection {
+            client_is_modern: exchange.head.modern,
+            is_head_request: exchange.head.method() == "HEAD",
+            keep_open: exchange.head.keeps && exchange.is_body_complete && !is_shutting_down,
+        };
+        let response = ResponseHead::new(head, connection);
+        exchange.answer_framing = Some(response.framing);
         let client = exchange.downstream;
         if let Some(upstream) = self.upstream(id) {
             upstream.is_reusable = head.keeps;
         }
         if let Some(downstream) = self.downstream(client) {
-            downstream.is_last |= !keep_alive;
-            downstream.outbox.put(&bytes);
+            downstream.is_last |= !response.keep_open;
+            downstream.outbox.put(&response.bytes);
         }
         self.service.answer_streaming(current.request, current.attempt);
         self.flush(client);
@@ -182,7 +184,7 @@
         let result = AttemptResult::Success;
         self.service.attempt_ended(request, attempt, result, RequestState::Answered, now);
         self.release_upstream(id, exchange.is_body_complete, now);
-        let end = if exchange.answer_framing == Some(Framing::Chunked) { CHUNKS_END } else { b"" };
+        let end = if exchange.answer_framing == Some(Framing::Chunked) { LAST_CHUNK } else { b"" };
         self.end_answer(exchange.downstream, end, true);
     }
 
--- a/crates/node/src/direct/event_loop/connection.rs
+++ b/crates/node/src/direct/event_loop/connection.rs
@@ -5,7 +5,7 @@
 use crate::http::Outbox;
 use crate::net;
 use postusher_decision::{AttemptId, WorkerId};
-use postusher_direct::Reader;
+use postusher_direct::MessageReader;
 
 /// Bytes that may wait to be written on a connection; over that, nothing more is read for it.
 pub(super) const WRITE_BUFFER_LIMIT: usize = BODY_LIMIT;
@@ -46,7 +46,7 @@
 
 /// A client's or an operator's connection.
 pub(super) struct Downstream {
-    pub(super) reader: Reader,
+    pub(super) reader: MessageReader,
     pub(super) outbox: Outbox,
     /// The current request, once it is with the service.
     pub(super) request: Option<RequestId>,
@@ -64,7 +64,7 @@
     /// A connection just accepted.
     pub(super) fn new(is_admin: bool) -> Downstream {
         Downstream {
-            reader: Reader::new(true),
+            reader: MessageReader::for_requests(),
             outbox: Outbox::default(),
             request: None,
             is_request_read: true,
@@ -98,7 +98,7 @@
 
 /// A connection to a worker.
 pub(super) struct Upstream {
-    pub(super) reader: Reader,
+    pub(super) reader: MessageReader,
     pub(super) outbox: Outbox,
     /// What it is used for.
     pub(super) current: Option<RequestAttempt>,
@@ -116,7 +116,7 @@
     /// A connection whose connect has begun.
     pub(super) fn new(place: PoolWorker) -> Upstream {
         Upstream {
-            reader: Reader::new(false),
+            reader: MessageReader::for_responses(),
             outbox: Outbox::default(),
             current: None,
             place,
--- a/crates/node/src/direct/event_loop/connections.rs
+++ b/crates/node/src/direct/event_loop/connections.rs
@@ -4,11 +4,11 @@
 use super::{EventLoop, Timer};
 use crate::clock::Millis;
 use crate::connection_id::ConnectionId;
+use crate::direct::response::REQUEST_TIMEOUT;
 use crate::direct::service::RequestState;
 use crate::net::{self, Accepted, ACCEPT_BUDGET};
 use mio::net::TcpStream;
 use postusher_decision::AttemptResult;
-use postusher_direct::Wrong;
 use std::io;
 
 /// The head of a request must be whole within this time, from the connection's start or from its first byte.
@@ -126,7 +126,7 @@
         if let Some(upstream) = self.upstream(id) {
             if let Some(current) = upstream.current {
                 // Where the answer goes to the end of the connection, it is complete by that.
-                if upstream.reader.closed() {
+                if upstream.reader.end_of_input() {
                     upstream.is_reusable = false;
                     return self.complete_answer(id, current, now);
                 }
@@ -202,7 +202,7 @@
             Role::Downstream(downstream) if downstream.request.is_some() => {}
             _ if deadline > now => self.timers.set(deadline, Timer::Connection(id)),
             Role::Downstream(downstream) if downstream.reader.is_begun() && !downstream.is_last => {
-                self.reject_request(id, Wrong(408));
+                self.reject_request(id, REQUEST_TIMEOUT);
             }
             // It was idle for too long, or its client has not closed it. Or: no connection came up, nobody needed it,
             // or a body stands still for as long as an answer may take.
--- a/crates/node/src/direct/event_loop/requests.rs
+++ b/crates/node/src/direct/event_loop/requests.rs
@@ -4,9 +4,9 @@
 use super::{EventLoop, Timer};
 use crate::clock::Millis;
 use crate::connection_id::ConnectionId;
-use crate::direct::response::{framed, response, CONTINUE};
+use crate::direct::response::{framed, response, BAD_REQUEST, CONTINUE, NOT_FOUND};
 use crate::direct::service::{IncomingRequest, RequestId};
-use postusher_direct::{session, Framing, Head, Piece, Wrong, CHUNKS_END};
+use postusher_direct::{session_route, Framing, Head, Piece, RouteMatch, LAST_CHUNK};
 
 /// A client's connection without a request is closed after this time.
 const IDLE_TIMEOUT: Millis = 75_000.0;
@@ -28,7 +28,7 @@
                 return Destination { host: rest[..path_start].to_string(), target: path.to_string() };
             }
         }
-        let host = head.all("Host").next().unwrap_or("");
+        let host = head.values("Host").next().unwrap_or("");
         Destination { host: host.to_string(), target: head.target().to_string() }
     }
 }
@@ -59,19 +59,19 @@
         if downstream.is_admin {
             return self.answer_admin_request(id, &head);
         }
-        if head.expects() {
+        if head.expects_continue() {
             downstream.outbox.put(CONTINUE);
         }
         let Destination { host, target } = Destination::of(&head);
-        let has_bad_host = head.modern && head.all("Host").count() != 1;
+        let has_bad_host = head.modern && head.values("Host").count() != 1;
         if has_bad_host || !target.starts_with('/') || head.method() == "CONNECT" {
-            return self.reject_request(id, Wrong(400));
+            return self.reject_request(id, BAD_REQUEST);
         }
-        let Some((pool, target)) = self.service.route(&host, &target) else {
-            return self.reject_request(id, Wrong(404));
+        let Some(RouteMatch { pool, target }) = self.service.route(&host, &target) else {
+            return self.reject_request(id, NOT_FOUND);
         };
         let sticky = self.service.pool(pool).sticky.clone();
-        let session = sticky.as_ref().and_then(|s| session(s, head.target(), head.all("Cookie")));
+        let session = sticky.as_ref().and_then(|s| session_route(s, head.target(), head.values("Cookie")));
         let is_replayable = is_replayable(head.framing);
         let incoming = IncomingRequest { pool, method: head.method(), is_replayable, session };
         let request = self.service.request_arrived(&incoming, now);
@@ -99,7 +99,7 @@
         let Some(exchange) = self.exchanges.get_mut(&request) else { return };
         exchange.is_body_complete = true;
         if exchange.head.framing == Framing::Chunked {
-            self.pass_body_on(request, CHUNKS_END);
+            self.pass_body_on(request, LAST_CHUNK);
         }
     }
 
@@ -120,20 +120,20 @@
             ("GET", "/healthcheck") if self.is_shutting_down() => (503, String::new()),
             ("GET", "/healthcheck") => (200, String::new()),
             ("GET", "/stats") => (200, self.service.stats().to_string()),
-            _ => (404, String::new()),
+            _ => (NOT_FOUND, String::new()),
         };
         let headers = "Content-Type: application/json\r\n";
         self.end_answer(id, &response(status, headers, &body, false), false);
     }
 
-    /// What a client sends is no request, or none that is served here.
-    pub(super) fn reject_request(&mut self, id: ConnectionId, wrong: Wrong) {
+    /// Answers what is no request, or none that is served here, with a status, and closes the connection after it.
+    pub(super) fn reject_request(&mut self, id: ConnectionId, status: u16) {
         let Some(downstream) = self.downstream(id) else { return };
         if let Some(request) = downstream.request {
             // The current request goes wrong in its body.
             self.abandon_request(request);
         }
-        self.end_answer(id, &response(wrong.0, "", "", false), false);
+        self.end_answer(id, &response(status, "", "", false), false);
     }
 
     /// Writes the last bytes of an answer; the next request may begin. `keep_alive`: the connection may outlive it.
--- a/crates/node/src/direct/event_loop/transfer.rs
+++ b/crates/node/src/direct/event_loop/transfer.rs
@@ -141,7 +141,7 @@
             return NextPiece::Blocked;
         }
         let Some(downstream) = self.downstream(id) else { return NextPiece::Blocked };
-        match downstream.reader.piece() {
+        match downstream.reader.next_piece() {
             Ok(Some(piece)) => {
                 self.handle_request_piece(id, piece, now);
                 NextPiece::Possible
@@ -150,8 +150,8 @@
                 self.limit_request_head(id, now);
                 NextPiece::Blocked
             }
-            Err(wrong) => {
-                self.reject_request(id, wrong);
+            Err(error) => {
+                self.reject_request(id, error.status());
                 NextPiece::Blocked
             }
         }
@@ -196,7 +196,7 @@
             return NextPiece::Blocked;
         }
         let Some(upstream) = self.upstream(id) else { return NextPiece::Blocked };
-        match upstream.reader.piece() {
+        match upstream.reader.next_piece() {
             Ok(Some(piece)) => {
                 self.handle_answer_piece(id, current, piece, now);
                 NextPiece::Possible
--- a/crates/node/src/direct/pool.rs
+++ b/crates/node/src/direct/pool.rs
@@ -6,7 +6,7 @@
     Action, AttemptId, AttemptOutcome, AttemptResult, Dispatcher, Endpoint, EndpointState, Event, Job, JobId,
     ListUpdate, WorkerId,
 };
-use postusher_direct::{Keeper, Listing, Proposal};
+use postusher_direct::{Listing, Proposal, StickySessions};
 use postusher_settings::micros_from_millis;
 use postusher_setup::{Pool, State};
 use serde_json::{json, Map, Value};
@@ -33,7 +33,7 @@
 }
 
 struct OpenRequest {
-    /// The worker, by index, that the keeper has proposed it for, where it names no session.
+    /// The worker, by index, that its share has proposed it for, where it names no session.
     proposed: Option<usize>,
     attempts: Vec<Attempt>,
     is_answered: bool,
@@ -45,7 +45,7 @@
     index: usize,
     setup: Pool,
     dispatcher: Dispatcher,
-    keeper: Keeper,
+    sessions: StickySessions,
     workers: Vec<Worker>,
     /// Ids of workers by name; they stay with the name when the setup is read again.
     ids: HashMap<String, WorkerId>,
@@ -71,7 +71,7 @@
         let mut pool = PoolScheduler {
             index,
             dispatcher: Dispatcher::new(settings(&setup), seed, micros_from_millis(now)),
-            keeper: Keeper::new(&setup),
+            sessions: StickySessions::new(&setup),
             setup,
             workers: Vec::new(),
             ids: HashMap::new(),
@@ -92,7 +92,7 @@
     /// Takes over the same pool as it is in the setup now; workers that stay keep what is known of them.
     pub(super) fn reload(&mut self, setup: Pool, addresses: Vec<SocketAddr>, now: Millis) {
         let old_names: Vec<String> = self.workers.iter().map(|worker| worker.name.clone()).collect();
-        self.keeper.again(&setup, now);
+        self.sessions.reconfigure(&setup, now);
         self.setup = setup;
         self.set_workers(addresses, ListUpdate::Complete);
         // Open requests name workers by index.
@@ -136,7 +136,7 @@
     }
 
     fn endpoints(&self) -> Vec<Endpoint> {
-        let listings = self.keeper.listings();
+        let listings = self.sessions.listings();
         let mut endpoints = Vec::with_capacity(self.workers.len());
         for (index, worker) in self.workers.iter().enumerate() {
             let state = match listings.get(index) {
@@ -161,7 +161,7 @@
 
     /// Where the rotation has changed, the dispatcher learns of it before anything else.
     fn update_rotation(&mut self, now: Millis) {
-        if self.keeper.turn(now) {
+        if self.sessions.update_rotation(now) {
             let endpoints = self.endpoints();
             self.events.insert(0, Event::EndpointList { update: ListUpdate::Changes, endpoints });
         }
@@ -176,7 +176,7 @@
         commands: &mut Vec<Command>,
     ) {
         self.update_rotation(now);
-        let placement_override = match self.keeper.propose(request.session, now) {
+        let placement_override = match self.sessions.propose(request.session, now) {
             Proposal::Prefer(index) => Some((index, false)),
             Proposal::Only(index) => Some((index, true)),
             Proposal::Any => None,
@@ -259,11 +259,11 @@
         match result {
             AttemptResult::Success | AttemptResult::Error => {
                 worker.counters.answered += 1;
-                self.keeper.answered(index);
+                self.sessions.record_answer(index);
             }
             AttemptResult::ConnectFailed | AttemptResult::Reset | AttemptResult::TimedOut => {
                 worker.counters.failed += 1;
-                self.keeper.failed(index, now);
+                self.sessions.record_failure(index, now);
             }
             _ => {}
         }
@@ -309,7 +309,7 @@
             Action::Reject { job, retry_after } => {
                 let Some(request) = self.mark_answered(job) else { return };
                 if let Some(proposed) = request.proposed.take() {
-                    self.keeper.undone(proposed);
+                    self.sessions.withdraw_proposal(proposed);
                 }
                 let retry_after = retry_after as f64 / 1e3;
                 commands.push(Command::Reject { request: RequestId { pool, job }, retry_after });
@@ -332,7 +332,7 @@
         request.attempts.push(Attempt { worker: Some(index), sent_at: now, is_pending: true });
         if let Some(proposed) = request.proposed.take() {
             if attempt == AttemptId(0) {
-                self.keeper.sent(proposed, index);
+                self.sessions.record_sent(proposed, index);
             }
         }
         let chosen = &mut self.workers[index];
@@ -365,12 +365,12 @@
     /// When something is to be done by time alone.
     pub(super) fn next_due(&self) -> Option<Millis> {
         let timer = self.timers.next();
-        timer.into_iter().chain(self.keeper.next_due()).reduce(f64::min)
+        timer.into_iter().chain(self.sessions.next_retry_at()).reduce(f64::min)
     }
 
     /// The metrics of the pool and its workers.
     pub(super) fn stats(&self) -> Value {
-        let listings = self.keeper.listings();
+        let listings = self.sessions.listings();
         let mut workers = Map::new();
         for (index, worker) in self.workers.iter().enumerate() {
             let state = match self.setup.workers[index].state {
--- a/crates/node/src/direct/response.rs
+++ b/crates/node/src/direct/response.rs
@@ -3,6 +3,13 @@
 use crate::http;
 use postusher_direct::Framing;
 
+/// Status of a request that is malformed.
+pub(super) const BAD_REQUEST: u16 = 400;
+/// Status of a request that no pool serves.
+pub(super) const NOT_FOUND: u16 = 404;
+/// Status of a request whose rest did not come in time.
+pub(super) const REQUEST_TIMEOUT: u16 = 408;
+
 /// The interim answer to a client that asked for one before it sends the body.
 pub(super) const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -10,7 +17,7 @@
 pub(super) fn response(status: u16, headers: &str, body: &str, keep_alive: bool) -> Vec<u8> {
     let status = match status {
         200 | 404 | 408 | 431 | 501 | 502 | 503 | 504 => status,
-        _ => 400,
+        _ => BAD_REQUEST,
     };
     let reason = http::reason(status);
     let connection = if keep_alive { "" } else { "Connection: close\r\n" };
--- a/crates/node/src/direct/service.rs
+++ b/crates/node/src/direct/service.rs
@@ -4,7 +4,7 @@
 use super::pool::{self, PoolScheduler};
 use crate::clock::Millis;
 use postusher_decision::{AttemptId, AttemptResult, JobId, WorkerId};
-use postusher_direct::Routes;
+use postusher_direct::{RouteMatch, Routes};
 use postusher_setup::Pool;
 use serde_json::{json, Map, Value};
 use std::io;
@@ -123,8 +123,8 @@
     }
 
     /// The pool that serves a request, and the target that its worker is asked for.
-    pub fn route(&self, host: &str, target: &str) -> Option<(usize, String)> {
-        self.routes.find(host, target)
+    pub fn route(&self, host: &str, target: &str) -> Option<RouteMatch> {
+        self.routes.find_route(host, target)
     }
 
     /// What the setup says of a pool.
--- a/crates/node/src/dispatch/answers.rs
+++ b/crates/node/src/dispatch/answers.rs
@@ -67,12 +67,12 @@
     fn rejected(&mut self, id: JobId, retry_after: Millis, now: Millis) {
         if let Some(job) = self.jobs.get_mut(&id) {
             if !job.is_answered() && job.attempts.is_empty() {
-                if self.deferred.turned_away(id, now) {
+                if self.deferred.requeue_rejected(id, now) {
                     job.phase = JobPhase::Deferred;
                     return;
                 }
                 job.phase = JobPhase::Dispatched;
-                self.deferred.crowded(now);
+                self.deferred.yield_to_arrivals(now);
             }
         }
         self.answer(id, Answer::Rejected { retry_after }, now);
@@ -111,7 +111,7 @@
     /// Tells the jobs that depend on a job that it has ended, here and at the other process of an upgrade.
     pub(super) fn publish_job_end(&mut self, trace_id: Rc<str>, status: JobEndStatus, now: Millis) {
         if self.deferred.is_on() {
-            self.deferred.ended(&trace_id, status, now);
+            self.deferred.record_end(&trace_id, status, now);
             self.commands.push(Command::PublishJobEnd(trace_id, status));
         }
     }
--- a/crates/node/src/dispatch/arrivals.rs
+++ b/crates/node/src/dispatch/arrivals.rs
@@ -35,13 +35,13 @@
         if self.has_job(&job.trace_id) {
             return Err(JobNotAccepted::DuplicateId);
         }
-        let is_deferred = !job.waits.is_empty();
+        let is_deferred = !job.start_conditions.is_empty();
         let id = self.open(client, job, now);
-        self.metrics.taken += 1;
+        self.metrics.accepted += 1;
         if is_deferred {
             self.defer(id, now)?;
         } else if let Some(job) = self.jobs.get(&id) {
-            self.deferred.opened(&job.trace_id);
+            self.deferred.record_start(&job.trace_id);
             self.events.push(Event::JobArrived(job.for_decision(id)));
         }
         Ok(id)
@@ -50,7 +50,7 @@
     /// Defers a job that has just arrived; one that cannot be deferred is forgotten.
     fn defer(&mut self, id: JobId, now: Millis) -> Result<(), JobNotAccepted> {
         let Some(job) = self.jobs.get_mut(&id) else { return Ok(()) };
-        let held = self.deferred.hold(id, job.client.number(), &job.submission, job.deadline, now);
+        let held = self.deferred.defer(id, job.client.number(), &job.submission, job.deadline, now);
         let Err(error) = held else {
             job.phase = JobPhase::Deferred;
             return Ok(());
@@ -69,9 +69,9 @@
             DeferralError::Full { retry_after } => {
                 Answer::Rejected { retry_after: self.permitted_retry_after(retry_after) }
             }
-            DeferralError::Doomed => Answer::Failed(Failure::DependencyFailed),
-            DeferralError::Circle => Answer::Failed(Failure::DependencyCycle),
-            DeferralError::TooLate => Answer::Failed(Failure::StartAfterDeadline),
+            DeferralError::DependencyFailed => Answer::Failed(Failure::DependencyFailed),
+            DeferralError::DependencyCycle => Answer::Failed(Failure::DependencyCycle),
+            DeferralError::StartAfterDeadline => Answer::Failed(Failure::StartAfterDeadline),
         }
     }
 
@@ -155,7 +155,7 @@
 
     fn adopt_dispatched(&mut self, id: JobId, attempts: &[(WorkerId, MigratedAttempt)], now: Millis) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        self.deferred.opened(&job.trace_id);
+        self.deferred.record_start(&job.trace_id);
         let mut prior_attempts = Vec::new();
         for (index, (worker, attempt)) in attempts.iter().enumerate() {
             let attempt_id = AttemptId(index as u8);
@@ -170,13 +170,13 @@
     /// is still on its way to its worker or the job has its answer.
     pub fn migrated_job(&self, id: JobId, now: Millis) -> Option<MigratedJob> {
         let job = self.jobs.get(&id).filter(|job| job.can_migrate())?;
-        Some(job.migrated(self.deferred.parcel(id, now), now))
+        Some(job.migrated(self.deferred.export(id, now), now))
     }
 
     /// Another process has a job now. What the decision module still wants for it here has no effect.
     pub fn release_migrated(&mut self, id: JobId) {
         if let Some(job) = self.forget(id) {
-            self.deferred.moved(&job.trace_id);
+            self.deferred.record_migration(&job.trace_id);
         }
     }
 
@@ -189,7 +189,7 @@
             JobPhase::Dispatched => self.events.push(Event::ClientDisconnected(id)),
         }
         job.phase = JobPhase::Answered;
-        self.metrics.left += 1;
+        self.metrics.disconnected += 1;
         self.to_review.push(id);
         let trace_id = job.trace_id.clone();
         self.publish_job_end(trace_id, JobEndStatus::Disconnected, now);
--- a/crates/node/src/dispatch/mod.rs
+++ b/crates/node/src/dispatch/mod.rs
@@ -130,17 +130,17 @@
 
     /// Sets other limits for deferred jobs, if there can be any.
     pub fn set_deferral_limits(&mut self, limits: Limits) {
-        self.deferred.set(limits);
+        self.deferred.set_limits(limits);
     }
 
     /// The other process of an upgrade has accepted a job; deferred jobs here may depend on it.
     pub fn job_started_elsewhere(&mut self, trace_id: &str) {
-        self.deferred.opened(trace_id);
+        self.deferred.record_start(trace_id);
     }
 
     /// A job of the other process of an upgrade has ended.
     pub fn job_ended_elsewhere(&mut self, trace_id: &str, status: JobEndStatus, now: Millis) {
-        self.deferred.ended(trace_id, status, now);
+        self.deferred.record_end(trace_id, status, now);
     }
 
     /// Rejects all deferred jobs, as the scheduler shuts down.
@@ -222,7 +222,7 @@
 
     /// When the next timer expires.
     pub fn next_due(&self, now: Millis) -> Option<Millis> {
-        earliest([self.timers.next(), self.deferred.next_due(now)])
+        earliest([self.timers.next(), self.deferred.next_timer(now)])
     }
 
     /// Whether there are events that the decision module has not been told.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -12,6 +12,7 @@
 use crate::reload::Reload;
 use crate::upgrade_protocol::{self, JobEnd, Message};
 use crate::upstream::{Pool, Task};
+use crate::worker_protocol::{job_path, HEALTH_PATH, LOAD_PATH};
 use accept::AcceptSchedule;
 use admin::AdminInterface;
 use limits::ConnectionLimits;
@@ -23,6 +24,7 @@
 use role::{Role, Socket};
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
+use signals::CounterOccasion;
 use std::io;
 use std::rc::Rc;
 use upgrade::Upgrade;
@@ -174,7 +176,7 @@
             self.send_admin_answers(self.clock.now());
             self.migrate_clients();
         }
-        self.log_counters("at the end");
+        self.log_counters(CounterOccasion::Exit);
         match self.members.as_mut().and_then(|members| members.taken.take()) {
             Some(why) => Err(io::Error::other(why.to_string())),
             None => Ok(()),
@@ -258,7 +260,7 @@
             self.reject_partial_requests(now);
         }
         if now >= self.counters_due_at {
-            self.log_counters("so far");
+            self.log_counters(CounterOccasion::Periodic);
             self.counters_due_at = now + COUNTERS_INTERVAL;
         }
     }
@@ -281,11 +283,11 @@
             Command::StartAttempt { job, attempt, worker } => self.start_attempt(job, attempt, worker, now),
             Command::AbandonAttempt(job, attempt) => self.abandon_attempt(job, attempt),
             Command::CancelAttempt { worker, trace_id } => {
-                let line = RequestLine { method: "DELETE".into(), target: format!("/jobs/{trace_id}") };
+                let line = RequestLine { method: "DELETE".into(), target: job_path(&trace_id) };
                 self.send_task(worker, Task::Cancellation, &line, now);
             }
             Command::CheckHealth(worker) => {
-                let path = if self.site.report_fields.is_empty() { "/alive" } else { "/metrics/load" };
+                let path = if self.site.report_fields.is_empty() { HEALTH_PATH } else { LOAD_PATH };
                 let line = RequestLine { method: "GET".into(), target: path.into() };
                 self.send_task(worker, Task::HealthCheck(worker), &line, now);
             }
@@ -302,7 +304,7 @@
 
     /// Something had to wait or fail for want of a descriptor.
     fn count_shortage(&mut self, now: Millis) {
-        self.dispatch.metrics.short += 1;
+        self.dispatch.metrics.descriptor_shortages += 1;
         self.limits.warn_of_shortage(now);
     }
 }
--- a/crates/node/src/event_loop/admin.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -210,7 +210,7 @@
     }
 
     fn stats_json(&self) -> String {
-        let deferred = self.dispatch.deferred_jobs().count(self.clock.now());
+        let deferred = self.dispatch.deferred_jobs().statistics(self.clock.now());
         let waiting = deferred.map(|count| DeferralGauges {
             held: count.held,
             released: count.released,
--- a/crates/node/src/event_loop/signals.rs
+++ b/crates/node/src/event_loop/signals.rs
@@ -4,6 +4,25 @@
 use crate::invariant;
 use crate::metrics::FinalStatus;
 use signal_hook::consts::SIGHUP;
+use std::fmt;
+
+/// When the counters are logged.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum CounterOccasion {
+    /// From time to time.
+    Periodic,
+    /// As the process exits.
+    Exit,
+}
+
+impl fmt::Display for CounterOccasion {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        f.write_str(match self {
+            CounterOccasion::Periodic => "periodic",
+            CounterOccasion::Exit => "exit",
+        })
+    }
+}
 
 impl EventLoop {
     /// Signals have come.
@@ -62,21 +81,22 @@
     }
 
     /// Logs the counters, and how often each invariant was broken.
-    pub(super) fn log_counters(&self, when: &str) {
+    pub(super) fn log_counters(&self, occasion: CounterOccasion) {
         let metrics = &self.dispatch.metrics;
-        let taken = metrics.taken;
+        let accepted = metrics.accepted;
         let served = metrics.total(FinalStatus::Served);
-        let refused = metrics.total(FinalStatus::Rejected);
+        let rejected = metrics.total(FinalStatus::Rejected);
         let failed = metrics.total(FinalStatus::Failed);
-        let left = metrics.left;
+        let disconnected = metrics.disconnected;
         let attempts = metrics.attempts;
-        let short = metrics.short;
-        let open = self.sockets.len();
+        let descriptor_shortages = metrics.descriptor_shortages;
+        let connections = self.sockets.len();
         let denials = metrics.denials();
         let broken = invariant::broken();
         log::info!(
-            "{when}: taken={taken} served={served} refused={refused} failed={failed} left={left} \
-             attempts={attempts} short={short} open={open}{denials}{broken}"
+            "counters: occasion={occasion} accepted={accepted} served={served} rejected={rejected} failed={failed} \
+             disconnected={disconnected} attempts={attempts} descriptor_shortages={descriptor_shortages} \
+             connections={connections}{denials}{broken}"
         );
     }
 }
--- a/crates/node/src/event_loop/upstreams.rs
+++ b/crates/node/src/event_loop/upstreams.rs
@@ -69,7 +69,7 @@
     fn start_task(&mut self, worker: WorkerId, task: Task, now: Millis) -> Option<ConnectionId> {
         let Some(address) = self.endpoints.get(worker).map(|listed| listed.addr) else {
             // A cancellation at a worker that is removed says nothing that matters.
-            holds(Invariant::TargetListed, !matches!(task, Task::Attempt(..)));
+            holds(Invariant::WorkerListed, !matches!(task, Task::Attempt(..)));
             self.handle_task_end(task, End::NotSent, worker, now);
             return None;
         };
--- a/crates/node/src/intake.rs
+++ b/crates/node/src/intake.rs
@@ -3,10 +3,10 @@
 //! rules.
 
 use crate::clock::Millis;
-use crate::deferral::StartConditions;
 use crate::header_values::{duration, is_trace_id, MICROSECOND};
 use crate::http::{Headers, Message, RequestLine};
 use crate::stable_hash::fnv1a;
+use crate::start_conditions::StartConditions;
 use crate::worker_protocol::{
     CLASS_HEADER, CUSTOMER_HEADER, EXPIRY_HEADER, IDEMPOTENCY_KEY_HEADER, JOB_STATUS_PATH, KEY_HEADER,
     PROPERTIES_HEADER, READINESS_PATH, SIZE_HINT_HEADER, SLOTS_PROPERTY, TRACE_ID_HEADER,
@@ -17,8 +17,6 @@
 mod error;
 mod payload;
 
-// The names under which `deferral` uses them.
-pub use crate::header_values::{duration as millis, is_trace_id as is_id};
 pub use error::IntakeError;
 pub use payload::Payload;
 
@@ -44,7 +42,7 @@
     /// The time from its arrival to its deadline.
     pub time_to_deadline: Millis,
     /// What it waits for before it starts; empty where jobs cannot be deferred.
-    pub waits: StartConditions,
+    pub start_conditions: StartConditions,
     /// What a worker is sent.
     pub payload: Payload,
 }
@@ -103,7 +101,7 @@
     check_expectation(&headers)?;
     let key = key(&headers)?;
     let customer = customer_number(&headers, site)?;
-    let waits = if deferral_enabled {
+    let start_conditions = if deferral_enabled {
         StartConditions::take(&mut headers).ok_or(IntakeError::InvalidStartCondition)?
     } else {
         StartConditions::default()
@@ -116,7 +114,7 @@
         size_hint,
         slots,
         time_to_deadline,
-        waits,
+        start_conditions,
         payload: Payload { line, headers, body },
     })
 }
--- a/crates/node/src/invariant.rs
+++ b/crates/node/src/invariant.rs
@@ -8,7 +8,7 @@
     /// The decision module answers every job by its deadline; otherwise the scheduler fails the job.
     AnsweredInTime,
     /// An attempt goes only to a listed worker.
-    TargetListed,
+    WorkerListed,
     /// An attempt ends once.
     AttemptEndedOnce,
     /// Only an idle connection gets a request.
@@ -23,7 +23,7 @@
 
 const ALL: [Invariant; 6] = [
     Invariant::AnsweredInTime,
-    Invariant::TargetListed,
+    Invariant::WorkerListed,
     Invariant::AttemptEndedOnce,
     Invariant::ConnectionIdle,
     Invariant::ListCurrent,
--- a/crates/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -1,6 +1,5 @@
 //! postusher on real sockets: accepts clients' jobs over HTTP, has the decision module choose a worker for each, and
 //! answers the clients.
-#![forbid(unsafe_code)]
 
 mod admin;
 mod answer;
@@ -30,6 +29,7 @@
 mod net;
 mod reload;
 mod stable_hash;
+mod start_conditions;
 mod upgrade_protocol;
 mod upstream;
 mod worker_protocol;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -77,15 +77,15 @@
     /// By customer, with those that the settings do not have last; empty where the settings have none.
     customers: Vec<NamedCounts>,
     /// Jobs accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Clients that disconnected before their answer.
-    pub left: u64,
+    pub disconnected: u64,
     /// Attempts whose last byte was written.
     pub attempts: u64,
     /// Attempts that were not sent, by the discriminant of the reason.
     pub denied: [u64; SendDenial::ALL.len()],
     /// Times that something was delayed or failed for want of a file descriptor.
-    pub short: u64,
+    pub descriptor_shortages: u64,
     /// Configurations that were read again and taken over.
     pub reloads_ok: u64,
     /// Configurations that could not be read again.
@@ -161,11 +161,11 @@
         Metrics {
             classes: classes.iter().map(|class| NamedCounts::new(&class.name)).collect(),
             customers,
-            taken: 0,
-            left: 0,
+            accepted: 0,
+            disconnected: 0,
             attempts: 0,
             denied: [0; SendDenial::ALL.len()],
-            short: 0,
+            descriptor_shortages: 0,
             reloads_ok: 0,
             reloads_failed: 0,
         }
--- a/crates/node/src/deferral/tests.rs
+++ b/crates/node/src/start_conditions/tests.rs
@@ -2,7 +2,8 @@
 use crate::intake::tests::job_of;
 
 fn start_conditions(headers: &str) -> Result<StartConditions, u16> {
-    job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{headers}\r\n")).map(|job| job.waits)
+    job_of(&format!("POST /render HTTP/1.1\r\nX-Trace-Id: a\r\n{headers}\r\n"))
+        .map(|job| job.start_conditions)
 }
 
 #[test]
--- a/crates/node/src/worker_protocol.rs
+++ b/crates/node/src/worker_protocol.rs
@@ -29,14 +29,11 @@
 /// Path at which workers send job status updates.
 pub const JOB_STATUS_PATH: &str = "/_jobs/news";
 /// Path at which a worker that sends no load reports shows that it lives.
-#[allow(dead_code)]
 pub const HEALTH_PATH: &str = "/alive";
 /// Path at which a worker sends its load report.
-#[allow(dead_code)]
 pub const LOAD_PATH: &str = "/metrics/load";
 
 /// Path of a job at its worker; `DELETE` cancels the job there.
-#[allow(dead_code)]
 pub fn job_path(trace_id: &str) -> String {
     format!("/jobs/{trace_id}")
 }
