--- a/crates/direct/src/sticky_sessions.rs
+++ b/crates/direct/src/sticky_sessions.rs
@@ -1,5 +1,5 @@
-//! Chooses a worker of one pool for each request: by its session if it names one, else by weighted round robin among the
-//! workers in rotation. The decision module may choose another; what really happened is recorded here.
+//! Chooses a worker of one pool for each request: by its session if it names one, else by weighted round robin among
+//! the workers in rotation. The decision module may choose another; what really happened is recorded here.
 
 #[cfg(test)]
 mod tests;
--- a/crates/import/src/apache/units.rs
+++ b/crates/import/src/apache/units.rs
@@ -6,7 +6,8 @@
 /// More digits of a time are not read.
 const MAX_DIGITS: usize = 9;
 
-/// A length of time in milliseconds: seconds, unless a unit (`ms`, `s`, `mi`, `h`) says otherwise. `None` if it is none.
+/// A length of time in milliseconds: seconds, unless a unit (`ms`, `s`, `mi`, `h`) says otherwise. `None` for other
+/// texts.
 pub fn time(text: &str) -> Option<f64> {
     let digits = text.trim_end_matches(|c: char| c.is_ascii_alphabetic());
     let factor = match text[digits.len()..].to_ascii_lowercase().as_str() {
--- a/crates/import/src/replay.rs
+++ b/crates/import/src/replay.rs
@@ -10,7 +10,8 @@
     InMemory([(FILE.to_string(), text.to_string())].into())
 }
 
-/// Checks that a text is imported as a configuration of Apache, or rejected with a place; and that the setup reads back.
+/// Checks that a text is imported as a configuration of Apache, or rejected with a place; and that the setup reads
+/// back.
 ///
 /// # Panics
 /// Where that does not hold.
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::journal::{Journal, Observation};
 use crate::plan::{Job, Plan};
 use crate::scenario::{Effect, Scenario};
-use crate::wire::{self, Message, Wire};
+use crate::wire::{self, Connection, Message};
 use crate::workers::result_of;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -30,7 +30,7 @@
 /// All clients of one run.
 pub struct Clients {
     schedulers: Vec<SocketAddr>,
-    idle: Vec<Mutex<Vec<Wire>>>,
+    idle: Vec<Mutex<Vec<Connection>>>,
     classes: Vec<(String, Effect)>,
     journal: Journal,
     room: Arc<Semaphore>,
@@ -45,7 +45,7 @@
         Arc::new(Clients { schedulers, idle, classes, journal, room })
     }
 
-    fn idle(&self, scheduler: usize) -> MutexGuard<'_, Vec<Wire>> {
+    fn idle(&self, scheduler: usize) -> MutexGuard<'_, Vec<Connection>> {
         match self.idle[scheduler].lock() {
             Ok(idle) => idle,
             Err(poisoned) => poisoned.into_inner(), // a panic elsewhere; the run fails by that
@@ -82,14 +82,14 @@
         }
         match TcpStream::connect(self.schedulers[job.home]).await {
             Ok(stream) => {
-                self.exchange(job, &request, Wire::new(stream), false).await;
+                self.exchange(job, &request, Connection::new(stream), false).await;
             }
             Err(_) => self.note_broken(job, is_kept),
         }
     }
 
     /// Sends a request and notes how it ends, unless the connection turns out to have ended before and `may_repeat`.
-    async fn exchange(&self, job: &Job, request: &[u8], mut wire: Wire, may_repeat: bool) -> Exchange {
+    async fn exchange(&self, job: &Job, request: &[u8], mut wire: Connection, may_repeat: bool) -> Exchange {
         if wire.send(request).await.is_err() {
             if may_repeat {
                 return Exchange::ConnectionHadEnded;
@@ -114,7 +114,7 @@
     }
 
     /// Notes an answer, and keeps the connection unless it ends or more comes on it.
-    async fn note_answer(&self, job: &Job, message: Message, mut wire: Wire) {
+    async fn note_answer(&self, job: &Job, message: Message, mut wire: Connection) {
         self.journal.write(Observation::Answered {
             job: job.id.clone(),
             status: message.status(),
--- a/crates/testbed/src/direct.rs
+++ b/crates/testbed/src/direct.rs
@@ -1,6 +1,6 @@
 //! Stand-in workers of direct pools, which answer HTTP requests themselves, and a client for them.
 
-use crate::wire::{self, Line, Wire};
+use crate::wire::{self, Connection, StartLine};
 use anyhow::{bail, Result};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -72,7 +72,7 @@
                     continue; // it ends here
                 }
                 let one = served.clone();
-                tokio::spawn(async move { one.serve(Wire::new(stream)).await });
+                tokio::spawn(async move { one.serve(Connection::new(stream)).await });
             }
         });
         Ok(new)
@@ -95,9 +95,9 @@
         std::mem::take(&mut self.state().requests)
     }
 
-    async fn serve(&self, mut wire: Wire) {
+    async fn serve(&self, mut wire: Connection) {
         while let Ok(Some(message)) = wire.message().await {
-            let Line::Request(method, target) = &message.line else { return };
+            let StartLine::Request(method, target) = &message.line else { return };
             let request = ReceivedRequest {
                 line: format!("{method} {target}"),
                 headers: message.headers.clone(),
@@ -137,7 +137,7 @@
 /// A client on one connection, opened again when it ends.
 pub struct Client {
     addr: SocketAddr,
-    wire: Option<Wire>,
+    wire: Option<Connection>,
 }
 
 impl Client {
@@ -154,7 +154,7 @@
         for again in [self.wire.is_some(), false] {
             let mut wire = match self.wire.take() {
                 Some(wire) => wire,
-                None => Wire::new(TcpStream::connect(self.addr).await?),
+                None => Connection::new(TcpStream::connect(self.addr).await?),
             };
             let request = wire::message(&format!("{line} HTTP/1.1\r\n"), headers, body);
             let answer = match wire.send(&request).await {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::journal::{Journal, Observation};
 use crate::scenario::Fleet;
-use crate::wire::{self, Line, Wire};
+use crate::wire::{self, Connection, StartLine};
 use crate::workers::name;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -132,7 +132,7 @@
                     let (discovery, mut down) = (discovery.clone(), discovery.down.subscribe());
                     tokio::spawn(async move {
                         tokio::select! {
-                            _ = discovery.serve(scheduler, Wire::new(stream)) => {}
+                            _ = discovery.serve(scheduler, Connection::new(stream)) => {}
                             _ = down.wait_for(|down| *down) => {}
                         }
                     });
@@ -192,7 +192,7 @@
     }
 
     /// Writes an answer in the present style; says whether the connection is of further use.
-    async fn write(&self, wire: &mut Wire, answer: &[u8]) -> bool {
+    async fn write(&self, wire: &mut Connection, answer: &[u8]) -> bool {
         let style = *self.style.borrow();
         match style {
             ResponseStyle::Whole => wire.send(answer).await.is_ok(),
@@ -212,9 +212,9 @@
         }
     }
 
-    async fn serve(&self, scheduler: usize, mut wire: Wire) {
+    async fn serve(&self, scheduler: usize, mut wire: Connection) {
         while let Ok(Some(message)) = wire.message().await {
-            let Line::Request(_, path) = &message.line else { return };
+            let StartLine::Request(_, path) = &message.line else { return };
             let after = query_number(path, "after");
             if let Some(after) = after {
                 let wait_ms = query_number(path, "wait_ms").unwrap_or(0).min(MAX_WAIT_MS);
--- a/crates/testbed/src/machine/tests.rs
+++ b/crates/testbed/src/machine/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn jobs_begin_in_order_and_a_cold_machine_is_slower() {
+fn jobs_begin_in_order_and_slow_start_is_slower() {
     let mut m = Machine::new(2, 2, 2.0, 0.5, 1_000.0);
     assert_eq!(m.submit(work("a", 1, 100.0)), Admission::Accepted);
     assert_eq!(m.submit(work("a", 1, 100.0)), Admission::Duplicate);
@@ -28,7 +28,7 @@
 
 proptest! {
     #[test]
-    fn nothing_is_lost_or_done_twice(steps in prop::collection::vec((0u8..4, 1u32..4, 1u32..80), 1..120)) {
+    fn no_job_is_lost_or_done_twice(steps in prop::collection::vec((0u8..4, 1u32..4, 1u32..80), 1..120)) {
         let mut m = Machine::new(4, 8, 1.0, 0.4, 500.0);
         let (mut now, mut here, mut n) = (0.0, std::collections::BTreeSet::new(), 0);
         for (what, slots, time) in steps {
--- a/crates/testbed/src/plan/tests.rs
+++ b/crates/testbed/src/plan/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_seed_draws_one_plan_and_another_seed_another() {
+fn plan_depends_on_its_seed_only() {
     let scenario = Scenario::read(crate::test_scenario::SMALL).unwrap();
     let (a, b, c) = (Plan::draw(&scenario, 7), Plan::draw(&scenario, 7), Plan::draw(&scenario, 8));
     assert!(a.jobs == b.jobs && a.jobs != c.jobs);
--- a/crates/testbed/src/relay/tests.rs
+++ b/crates/testbed/src/relay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test]
-async fn each_ordered_pair_is_a_link_of_its_own_for_datagrams_and_connections() {
+async fn each_direction_is_a_separate_link() {
     let relay = Relay::start(2, 1).await.unwrap();
     let a = UdpSocket::bind(relay.own[0]).await.unwrap();
     let b = UdpSocket::bind(relay.own[1]).await.unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn weather_loses_and_doubles_by_its_seed() {
+async fn link_conditions_lose_double_and_delay() {
     let relay = Relay::start(2, 7).await.unwrap();
     relay.set_conditions(LinkConditions { loss: 0.3, twice: 0.2, delay_ms: 5.0, limit: 0 });
     let fates: Vec<usize> =
--- a/crates/testbed/src/rules/tests.rs
+++ b/crates/testbed/src/rules/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_job_that_goes_well_breaks_nothing_and_each_way_to_go_wrong_shows() {
+fn correct_job_breaks_no_rule_and_each_fault_is_found() {
     let with = |extra| broken(&run(Effect::Once, vec![job("a", &[], None)], served(extra)));
     assert_eq!(with(vec![]), []);
     assert_eq!(with(vec![(5.0, answered("a", 503, false))]), [Rule::OneAnswer]);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn repeats_are_judged_by_class_and_cell() {
+fn retries_are_judged_by_class_and_cell() {
     let again = |effect, worker: usize, at: f64| {
         let twice = vec![(at, got("a", worker, true))];
         broken(&run(effect, vec![job("a", &[], None)], served(twice)))
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn sends_after_a_drain_and_floods_of_a_cold_worker_show() {
+fn attempts_after_a_drain_and_overload_in_slow_start_are_found() {
     let told = |drains| Observation::Told { worker: 0, scheduler: 0, drains };
     let sends = |entries| {
         let all = entries;
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_view_that_changes_without_a_fault_for_it_shows() {
+fn membership_change_without_a_fault_is_found() {
     let mut run = run(Effect::Repeatable, Vec::new(), Vec::new());
     run.scenario.schedulers = 3;
     run.scenario.members =
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_starts_early_or_should_never_start_shows() {
+fn deferred_jobs_that_start_early_or_should_not_start_are_found() {
     let jobs = |any| vec![job("a", &[], None), job("b", &[("a", any)], None), job("c", &[], Some(50.0))];
     let b = |at: f64| {
         vec![(1.5, sent("b")), (at, got("b", 1, true)), (60.0, done("b")), (61.0, answered("b", 200, true))]
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_attempt_for_nobody_too_much_time_told_and_a_request_lost_at_the_end_show() {
+fn attempts_after_disconnect_wrong_time_left_and_lost_jobs_are_found() {
     let leaves = |at: f64| {
         vec![(1.0, sent("a")), (50.0, Observation::Left { job: "a".into() }), (at, got("a", 0, true))]
     };
--- a/crates/testbed/src/schedulers.rs
+++ b/crates/testbed/src/schedulers.rs
@@ -1,12 +1,14 @@
 //! Processes of the real program, started and stopped as operators would.
 
+mod config;
+
 use crate::journal::{Journal, Observation};
 use crate::relay::Relay;
-use crate::scenario::{Effect, Members, Scenario, FALL_MS, OVERLOAD, WINDOW_MS};
-use crate::wire::{self, Wire};
+use crate::scenario::{Members, Scenario};
+use crate::wire::{self, Connection};
 use anyhow::{bail, Context, Result};
+use config::{member_name, Parties};
 use rustix::process::{kill_process, Pid, Signal};
-use serde_json::json;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -48,11 +50,6 @@
     Ok(listener.local_addr()?)
 }
 
-/// The name of a scheduler as a member of a group.
-fn member_name(number: usize) -> String {
-    format!("s{number}")
-}
-
 /// What a scheduler believes of all members.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct View {
@@ -121,46 +118,20 @@
 
     /// Makes it a member of the group that the relay connects.
     pub fn with_members(mut self, members: &Members, relay: &Relay) -> Scheduler {
-        let n = self.number;
-        let seeds = relay.known.iter().take(3).map(|addr| format!("<seed addr=\"{addr}\"/>"));
-        let seeds: String = seeds.collect();
-        self.members = format!(
-            "<members name=\"{}\" zone=\"z{}\" listen=\"{}\" advertise=\"{}\" probe=\"{}ms\" suspicion=\"{}ms\" removal=\"{}ms\">{seeds}</members>",
-            member_name(n), n % members.zones.max(1), relay.own[n], relay.known[n], members.probe_ms, members.suspicion_ms, members.probe_ms,
-        );
+        self.members = config::members_element(self.number, members, relay);
         self
     }
 
-    fn config(&self, scenario: &Scenario, mgmt: SocketAddr) -> serde_json::Value {
-        let service = |c: &crate::scenario::Class| {
-            let (effect, group) = match c.effect {
-                Effect::Repeatable => ("repeatable", ""),
-                Effect::ByKey => ("by_key", "cell"),
-                Effect::Once => ("once", ""),
-            };
-            json!({"Name": c.name, "Effect": effect, "Group": group, "WindowMs": WINDOW_MS,
-                "GoalTimeMs": c.goal_ms, "HardLimitMs": c.give_up_ms, "LateValue": 0.3, "Credit": 1.0})
-        };
-        let classes: Vec<_> = scenario.class.iter().map(service).collect();
-        json!({"name": format!("lab-{}", self.number), "listen": self.addresses.listen.to_string(),
-            "mgmt": mgmt.to_string(), "discovery": self.discovery.to_string(),
-            "seed": format!("{:x}", 7 + self.number),
-            "limits": {"cores": 1.0, "memory_mb": 1024, "sockets": scenario.sockets},
-            "known": self.known_endpoints,
-            "settings": {"Discovery": "ask", "Siblings": scenario.schedulers, "Zones": ["a"], "Models": ["k"],
-                "Permissions": {"Cancel": true, "ConnectTimeoutMs": 200, "KeepaliveMs": 10_000, "MaxAttempts": 5,
-                    "MaxRetryAfterMs": 60_000, "RetryAfter": true, "SecondCopies": true, "Probes": true},
-                "Report": {"Fields": ["inflight", "x0"], "Source": "inline"},
-                "Rules": {"ColdFrom": scenario.fleet.cold_from, "FallMs": FALL_MS, "OverloadFactor": OVERLOAD,
-                    "WarmAfterMs": scenario.fleet.warm_ms},
-                "Services": classes,
-                "Specifics": {"ReportX0": "free slots", "TellsStart": true, "ProgressMs": 1_000}}})
-    }
-
     fn spawn(&mut self, scenario: &Scenario, mgmt: SocketAddr) -> Result<Child> {
         self.starts += 1;
+        let parties = Parties {
+            number: self.number,
+            addresses: Addresses { listen: self.addresses.listen, mgmt },
+            discovery: self.discovery,
+            known_endpoints: &self.known_endpoints,
+        };
         let config = self.folder.join("config.json");
-        std::fs::write(&config, serde_json::to_vec_pretty(&self.config(scenario, mgmt))?)?;
+        std::fs::write(&config, serde_json::to_vec_pretty(&config::config(scenario, &parties))?)?;
         let log = std::fs::File::create(self.folder.join(format!("log-{}.txt", self.starts)))?;
         let mut command = Command::new(&self.binary);
         command.arg("serve").arg("--config").arg(&config);
@@ -390,7 +361,7 @@
 /// There is no answer.
 pub async fn ask(addr: SocketAddr, line: &str) -> Result<(u16, Vec<u8>)> {
     let exchange = async {
-        let mut wire = Wire::new(TcpStream::connect(addr).await?);
+        let mut wire = Connection::new(TcpStream::connect(addr).await?);
         wire.send(&wire::message(
             &format!("{line} HTTP/1.1\r\n"),
             &[("Host", "s"), ("Connection", "close")],
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -6,12 +6,13 @@
 
 /// The longest message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
+const MAX_HEADERS: usize = 64;
 
 /// A message that was read.
 #[derive(Debug, Default)]
 pub struct Message {
     /// Its first line.
-    pub line: Line,
+    pub line: StartLine,
     /// Its headers.
     pub headers: Vec<(String, String)>,
     /// Its body.
@@ -20,7 +21,7 @@
 
 /// The first line of a message.
 #[derive(Debug, Default, PartialEq)]
-pub enum Line {
+pub enum StartLine {
     /// None yet.
     #[default]
     None,
@@ -38,7 +39,7 @@
 
     /// The status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
-        if let Line::Status(status) = self.line {
+        if let StartLine::Status(status) = self.line {
             status
         } else {
             0
@@ -52,7 +53,7 @@
 }
 
 /// One end of a connection.
-pub struct Wire {
+pub struct Connection {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
@@ -61,11 +62,11 @@
     Error::new(ErrorKind::InvalidData, what)
 }
 
-impl Wire {
+impl Connection {
     /// Takes over an open connection.
-    pub fn new(stream: TcpStream) -> Wire {
+    pub fn new(stream: TcpStream) -> Connection {
         let _ = stream.set_nodelay(true); // a delay at worst
-        Wire { stream, buffer: Vec::new() }
+        Connection { stream, buffer: Vec::new() }
     }
 
     /// Sends bytes.
@@ -83,8 +84,8 @@
     pub async fn message(&mut self) -> Result<Option<Message>> {
         loop {
             if let Some(message) = self.parse()? {
-                // What says that it goes on is not the answer.
-                if message.line != Line::Status(100) {
+                // `100 Continue` is not the final response.
+                if message.line != StartLine::Status(100) {
                     return Ok(Some(message));
                 }
                 continue;
@@ -93,13 +94,15 @@
                 return Err(bad("a message is too long"));
             }
             if self.stream.read_buf(&mut self.buffer).await? == 0 {
-                let whole = self.buffer.is_empty();
-                return if whole { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
+                if self.buffer.is_empty() {
+                    return Ok(None);
+                }
+                return Err(ErrorKind::UnexpectedEof.into());
             }
         }
     }
 
-    /// Bytes that have come beyond the last message, now and here.
+    /// The number of bytes beyond the last message that have arrived so far.
     pub fn surplus(&mut self) -> usize {
         let mut more = [0; 4096];
         while let Ok(n) = self.stream.try_read(&mut more) {
@@ -111,58 +114,74 @@
         self.buffer.len()
     }
 
-    /// Waits until the other end closes or sends more.
+    /// Waits until the other end closes or sends more; says whether it has closed.
     pub async fn closed(&mut self) -> bool {
         let mut one = [0];
         matches!(self.stream.peek(&mut one).await, Ok(0) | Err(_))
     }
 
+    /// Takes the message at the start of the buffer; `None` until all of it has arrived.
     fn parse(&mut self) -> Result<Option<Message>> {
-        let mut headers = [httparse::EMPTY_HEADER; 64];
-        let (line, taken, headers) = if self.buffer.starts_with(b"HTTP/") {
-            let mut head = httparse::Response::new(&mut headers);
-            match head.parse(&self.buffer).map_err(|e| bad(&e.to_string()))? {
-                httparse::Status::Partial => return Ok(None),
-                httparse::Status::Complete(n) => {
-                    (Line::Status(head.code.unwrap_or(0)), n, owned(head.headers))
-                }
-            }
-        } else {
-            let mut head = httparse::Request::new(&mut headers);
-            match head.parse(&self.buffer).map_err(|e| bad(&e.to_string()))? {
-                httparse::Status::Partial => return Ok(None),
-                httparse::Status::Complete(n) => {
-                    let word = |w: Option<&str>| w.unwrap_or("").to_string();
-                    (Line::Request(word(head.method), word(head.path)), n, owned(head.headers))
-                }
-            }
-        };
-        let length = headers.iter().find(|(n, _)| n.eq_ignore_ascii_case("Content-Length"));
-        let length =
-            length.map_or(Ok(0), |(_, v)| v.trim().parse::<usize>()).map_err(|e| bad(&e.to_string()))?;
+        let Some(RawHead { line, headers, bytes }) = parse_head(&self.buffer)? else { return Ok(None) };
+        let length = content_length(&headers)?;
         if length > MAX_MESSAGE_BYTES {
             return Err(bad("a body is too long"));
         }
-        if self.buffer.len() < taken + length {
+        let end = bytes + length;
+        if self.buffer.len() < end {
             return Ok(None);
         }
-        let body = self.buffer[taken..taken + length].to_vec();
-        self.buffer.drain(..taken + length);
+        let body = self.buffer[bytes..end].to_vec();
+        self.buffer.drain(..end);
         Ok(Some(Message { line, headers, body }))
     }
 }
 
+/// A head as it stands in the buffer.
+struct RawHead {
+    line: StartLine,
+    headers: Vec<(String, String)>,
+    bytes: usize,
+}
+
+fn parse_head(buffer: &[u8]) -> Result<Option<RawHead>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    if buffer.starts_with(b"HTTP/") {
+        let mut head = httparse::Response::new(&mut headers);
+        let httparse::Status::Complete(bytes) = head.parse(buffer).map_err(|e| bad(&e.to_string()))? else {
+            return Ok(None);
+        };
+        let line = StartLine::Status(head.code.unwrap_or_default());
+        return Ok(Some(RawHead { line, headers: owned(head.headers), bytes }));
+    }
+    let mut head = httparse::Request::new(&mut headers);
+    let httparse::Status::Complete(bytes) = head.parse(buffer).map_err(|e| bad(&e.to_string()))? else {
+        return Ok(None);
+    };
+    let method = head.method.unwrap_or_default().to_string();
+    let target = head.path.unwrap_or_default().to_string();
+    Ok(Some(RawHead { line: StartLine::Request(method, target), headers: owned(head.headers), bytes }))
+}
+
+/// The length of the body; 0 without a header.
+fn content_length(headers: &[(String, String)]) -> Result<usize> {
+    match headers.iter().find(|(name, _)| name.eq_ignore_ascii_case("Content-Length")) {
+        Some((_, value)) => value.trim().parse().map_err(|_| bad("Content-Length is no number")),
+        None => Ok(0),
+    }
+}
+
 fn owned(headers: &[httparse::Header]) -> Vec<(String, String)> {
-    let text = |v: &[u8]| String::from_utf8_lossy(v).into_owned();
-    headers.iter().map(|h| (h.name.to_string(), text(h.value))).collect()
+    let text = |value: &[u8]| String::from_utf8_lossy(value).into_owned();
+    headers.iter().map(|header| (header.name.to_string(), text(header.value))).collect()
 }
 
-/// An answer with a body.
+/// The bytes of a response with a body.
 pub fn answer(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     message(&format!("HTTP/1.1 {status} Status\r\n"), headers, body)
 }
 
-/// A message with this first line.
+/// The bytes of a message with this first line.
 pub fn message(line: &str, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut head = line.to_string();
     for (name, value) in headers {
--- a/crates/testbed/src/workers.rs
+++ b/crates/testbed/src/workers.rs
@@ -5,7 +5,7 @@
 use crate::machine::{Admission, Machine, Work};
 use crate::plan::Plan;
 use crate::scenario::Scenario;
-use crate::wire::{self, Line, Wire};
+use crate::wire::{self, Connection, StartLine};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -183,16 +183,16 @@
             let (worker, mut processes) = (self.clone(), self.processes.subscribe());
             tokio::spawn(async move {
                 tokio::select! {
-                    _ = worker.serve(scheduler, Wire::new(stream)) => {}
+                    _ = worker.serve(scheduler, Connection::new(stream)) => {}
                     _ = processes.wait_for(|now| *now != process) => {}
                 }
             });
         }
     }
 
-    async fn serve(&self, scheduler: usize, mut wire: Wire) {
+    async fn serve(&self, scheduler: usize, mut wire: Connection) {
         while let Ok(Some(message)) = wire.message().await {
-            let Line::Request(method, path) = &message.line else { return };
+            let StartLine::Request(method, path) = &message.line else { return };
             let answer = match (method.as_str(), path.as_str()) {
                 ("POST", _) => match self.receive_job(scheduler, &message) {
                     Some(answer) => answer,
@@ -372,7 +372,7 @@
 
 async fn call(addr: SocketAddr, body: &str) -> std::io::Result<u16> {
     let exchange = async {
-        let mut wire = Wire::new(TcpStream::connect(addr).await?);
+        let mut wire = Connection::new(TcpStream::connect(addr).await?);
         let headers = [("Host", "s"), ("Connection", "close")];
         wire.send(&wire::message("POST /_jobs/news HTTP/1.1\r\n", &headers, body.as_bytes())).await?;
         Ok(wire.message().await?.map_or(0, |m| m.status()))
--- a/crates/testbed/tests/runs.rs
+++ b/crates/testbed/tests/runs.rs
@@ -44,17 +44,17 @@
 }
 
 #[test]
-fn jobs_wait_through_crashes_a_cold_restart_and_an_hour_that_comes_for_many() {
+fn deferred_jobs_survive_crashes_slow_start_and_a_backlog() {
     keeps_all_rules("waiting.toml");
 }
 
 #[test]
-fn jobs_wait_through_all_that_workers_can_do() {
+fn deferred_jobs_survive_misbehaving_workers() {
     keeps_all_rules("sick.toml");
 }
 
 #[test]
-fn schedulers_that_know_of_each_other_serve_and_agree_through_cuts_weather_pauses_and_crashes() {
+fn members_serve_and_agree_through_cuts_loss_pauses_and_crashes() {
     let run = run("members", &scenario("members.toml"), None);
     let report = report(&run, 1, check(&run)).unwrap();
     let said = report.lines().join("\n");
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn jobs_wait_through_an_upgrade_and_a_restart_and_those_of_a_killed_scheduler_are_excused() {
+fn deferred_jobs_survive_upgrade_and_restart() {
     keeps_all_rules("restarts.toml");
 }
 
 /// The list of a large fleet is longer than any request or result may be.
 #[test]
-fn draining_workers_of_a_large_fleet_get_nothing_through_kills_restarts_and_replacements() {
+fn draining_workers_of_a_large_fleet_get_no_new_jobs() {
     let run = run("large-fleet", &scenario("large-fleet.toml"), None);
     let breaches = check(&run);
     assert!(breaches.is_empty(), "{breaches:?}");
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_checker_finds_a_scheduler_that_answers_twice() {
+fn rules_find_a_second_answer() {
     let run = run("planted-twice", &quiet(), Some(|to| proxy(to, same, |b| [b, b].concat())));
     let breaches = check(&run);
     assert!(breaches.iter().any(|b| b.rule == Rule::OneAnswer && b.count > 20), "{breaches:?}");
@@ -146,14 +146,14 @@
 }
 
 #[test]
-fn the_checker_finds_a_scheduler_that_lets_jobs_go_too_early() {
+fn rules_find_deferred_jobs_that_start_too_early() {
     let run = run("planted-early", &quiet(), Some(|to| proxy(to, blind, same)));
     let breaches = check(&run);
     assert!(breaches.iter().any(|b| b.rule == Rule::Early && b.count > 5), "{breaches:?}");
 }
 
 #[test]
-fn the_checker_finds_a_result_that_nobody_made() {
+fn rules_find_a_result_that_no_worker_made() {
     let run = run(
         "planted-result",
         &quiet(),
--- a/crates/testbed/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -17,18 +17,18 @@
 }
 
 #[test]
-fn schedulers_keep_all_rules_through_faults_that_overlap() {
+fn soak_keeps_all_rules_through_overlapping_faults() {
     (1..=2).for_each(keeps_all_rules);
 }
 
 #[test]
-fn schedulers_keep_all_rules_through_a_crowd_and_further_faults() {
+fn soak_keeps_all_rules_through_a_connection_crowd() {
     (3..=4).for_each(keeps_all_rules);
 }
 
 /// The same seed is the same day.
 #[test]
-fn a_soak_follows_from_its_seed() {
+fn soak_scenario_depends_on_its_seed_only() {
     let text = |seed| toml::to_string(&soak::draw(seed)).unwrap();
     assert!(text(5) == text(5) && text(5) != text(6));
 }
