--- /dev/null
+++ b/crates/testbed/examples/members/pauses.rs
@@ -0,0 +1,54 @@
+//! What a pause of one member does to its standing and to that of the others.
+
+use crate::parallel::map_parallel;
+use crate::{false_removals, PROBE_INTERVAL, ZONES};
+use anyhow::Result;
+use postusher_membership::{Mechanisms, MemberStatus, Millis};
+use postusher_testbed::virtual_net::VirtualNetwork;
+use std::fmt::Write as _;
+
+const MEMBERS: usize = 10;
+const PAUSED: usize = 4;
+const SEEDS: u64 = 20;
+const FIRST_SEED: u64 = 3_000;
+/// Lengths of the pauses, in probe intervals.
+const PAUSES: [f64; 9] = [0.5, 2.0, 4.0, 5.0, 6.0, 7.0, 8.0, 10.0, 30.0];
+const TIME_AFTER_PAUSE: Millis = 20_000.0;
+
+struct PauseResult {
+    /// Seeds in which the paused member was removed.
+    removals: usize,
+    /// Removals of other members.
+    false_removals: usize,
+}
+
+/// Writes the table of pauses.
+pub fn write_section(page: &mut String) -> Result<()> {
+    writeln!(page, "\n## Pauses\n\nOne of 10 members stopped; seeds in which it was removed, of 20, and others that were.\n")?;
+    writeln!(page, "| pause, intervals | removed | others removed |\n| --- | --- | --- |")?;
+    let results = map_parallel(&PAUSES, |pause| measure_pause(*pause));
+    for (pause, PauseResult { removals, false_removals }) in PAUSES.iter().zip(results) {
+        writeln!(page, "| {pause} | {removals} | {false_removals} |")?;
+    }
+    Ok(())
+}
+
+fn measure_pause(intervals: f64) -> PauseResult {
+    let mut result = PauseResult { removals: 0, false_removals: 0 };
+    for seed in 0..SEEDS {
+        let mut network = VirtualNetwork::settled(MEMBERS, ZONES, FIRST_SEED + seed, Mechanisms::default());
+        network.pause(PAUSED);
+        network.run_for(intervals * PROBE_INTERVAL);
+        network.resume(PAUSED);
+        network.run_for(TIME_AFTER_PAUSE);
+        let is_removal = network
+            .status_changes
+            .iter()
+            .any(|change| change.subject == PAUSED && change.status == MemberStatus::Removed);
+        if is_removal {
+            result.removals += 1;
+        }
+        result.false_removals += false_removals(&network, &[PAUSED]).count();
+    }
+    result
+}
--- /dev/null
+++ b/crates/testbed/src/detectors/phi_accrual.rs
@@ -0,0 +1,84 @@
+//! Phi accrual: heartbeats of each member to all, and a level of suspicion that grows with the silence.
+
+use super::model::{Model, Payload};
+use super::PROBE_INTERVAL;
+use postusher_membership::Millis;
+use std::collections::{BTreeSet, VecDeque};
+
+/// From this value on a member is removed (the default of Cassandra and Akka).
+const PHI_THRESHOLD: f64 = 8.0;
+/// Times between heartbeats that are remembered.
+const WINDOW: usize = 100;
+/// With fewer times there is too little to go by.
+const MIN_SAMPLES: usize = 10;
+/// Lower bound of the standard deviation (Akka's).
+const MIN_DEVIATION: Millis = 100.0;
+
+/// What a member has heard of each other one.
+#[derive(Clone)]
+pub(super) struct HeartbeatHistory {
+    last_heard_at: Vec<Millis>,
+    intervals: Vec<VecDeque<Millis>>,
+    removed: BTreeSet<usize>,
+}
+
+impl HeartbeatHistory {
+    /// The history of a member that has heard nothing in a cluster of this size.
+    pub(super) fn new(members: usize) -> HeartbeatHistory {
+        HeartbeatHistory {
+            last_heard_at: vec![0.0; members],
+            intervals: vec![VecDeque::new(); members],
+            removed: BTreeSet::new(),
+        }
+    }
+
+    /// A heartbeat has come; its sender is no longer removed.
+    pub(super) fn record_heartbeat(&mut self, from: usize, now: Millis) {
+        let intervals = &mut self.intervals[from];
+        intervals.push_back(now - self.last_heard_at[from]);
+        if intervals.len() > WINDOW {
+            intervals.pop_front();
+        }
+        self.last_heard_at[from] = now;
+        self.removed.remove(&from);
+    }
+
+    /// Removes a member that has been silent for too long; whether it has done so now.
+    fn remove_if_silent(&mut self, subject: usize, now: Millis) -> bool {
+        let silence = now - self.last_heard_at[subject];
+        phi(silence, &self.intervals[subject]) >= PHI_THRESHOLD && self.removed.insert(subject)
+    }
+}
+
+impl Model<'_> {
+    /// Sends a heartbeat when it is due and judges the silence of each other member.
+    pub(super) fn tick_phi_accrual(&mut self, index: usize) {
+        if self.now >= self.members[index].next_probe_at {
+            self.members[index].next_probe_at = self.now + PROBE_INTERVAL;
+            for to in (0..self.case.members).filter(|to| *to != index) {
+                self.send(index, to, Payload::Heartbeat);
+            }
+        }
+        for subject in (0..self.case.members).filter(|subject| *subject != index) {
+            if self.members[index].heartbeats.remove_if_silent(subject, self.now) {
+                self.record_removal(index, subject);
+            }
+        }
+    }
+}
+
+/// The level of suspicion after a silence: minus the decimal logarithm of the probability that the next heartbeat comes
+/// later still, with intervals distributed normally (by the logistic approximation that Akka uses). 0 while there are too
+/// few intervals.
+pub(super) fn phi(silence: Millis, intervals: &VecDeque<Millis>) -> f64 {
+    if intervals.len() < MIN_SAMPLES {
+        return 0.0;
+    }
+    let count = intervals.len() as f64;
+    let mean = intervals.iter().sum::<f64>() / count;
+    let variance = intervals.iter().map(|interval| (interval - mean).powi(2)).sum::<f64>() / count;
+    let deviations = (silence - mean) / variance.sqrt().max(MIN_DEVIATION);
+    let odds = (-deviations * (1.5976 + 0.070_566 * deviations * deviations)).exp();
+    let probability_later = if silence > mean { odds / (1.0 + odds) } else { 1.0 - 1.0 / (1.0 + odds) };
+    -probability_later.max(f64::MIN_POSITIVE).log10()
+}
