--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -3,7 +3,6 @@
 //! HTTP/1.1 messages read and written in pieces ([`MessageReader`]). State machines without I/O or clock.
 
 mod message;
-mod old_names;
 mod routes;
 mod session;
 mod sticky_sessions;
@@ -12,12 +11,6 @@
     request_head, Framing, Head, MessageReader, ParseError, Piece, ResponseConnection, ResponseHead,
     StartLine, LAST_CHUNK, MAX_HEAD_BYTES,
 };
-pub use old_names::{response_head, Wrong};
 pub use routes::{RouteMatch, Routes};
 pub use session::session_route;
 pub use sticky_sessions::{Listing, Proposal, StickySessions};
-
-// Names that the event loop of direct pools still has.
-pub use message::{MessageReader as Reader, LAST_CHUNK as CHUNKS_END};
-pub use session::session_route as session;
-pub use sticky_sessions::StickySessions as Keeper;
