--- a/Makefile
+++ b/Makefile
@@ -30,7 +30,7 @@
 members-model:
 	cargo test --release --locked -p postusher-membership --test model -- --ignored --nocapture
 
-# How the waiting room's costs grow; by hand, as figures of a busy machine mean nothing.
+# How the cost of deferred jobs grows; by hand, as figures of a busy machine mean nothing.
 bench:
 	cargo bench --locked -p postusher-deferred-jobs
 	cargo run --release --locked --quiet -p postusher-deferred-jobs --example memory
--- a/crates/import/src/ajp.rs
+++ b/crates/import/src/ajp.rs
@@ -25,13 +25,6 @@
     },
 }
 
-/// For callers whose errors are texts.
-impl From<AjpError> for String {
-    fn from(error: AjpError) -> String {
-        error.to_string()
-    }
-}
-
 /// Where workers that are named by AJP addresses speak HTTP.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ajp {
--- a/crates/node/src/direct/event_loop.rs
+++ b/crates/node/src/direct/event_loop.rs
@@ -101,9 +101,9 @@
         }
         let service = Service::new(setup.pools, clock.now()).map_err(io::Error::other)?;
         let name = setup.name.unwrap_or_else(|| "postusher".into());
-        log::info!("{name}: listening on {}", listener.local_addr()?);
+        log::info!("listening: name={name} address={}", listener.local_addr()?);
         if let Some(admin_listener) = &admin_listener {
-            log::info!("{name}: operators call at {}", admin_listener.local_addr()?);
+            log::info!("admin interface listening: name={name} address={}", admin_listener.local_addr()?);
         }
         let connections = descriptors - OWN_DESCRIPTORS;
         Ok(EventLoop {
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -127,10 +127,11 @@
         let mut dispatch = Dispatch::new(site.clone(), config.seed, now).with_deferral(deferral_limits);
         let mut endpoints = EndpointList::new(&site);
         let known = endpoints.apply(config.known).endpoints;
-        log::info!("{}: listening on {}, {} workers known", config.name, listener.local_addr()?, known.len());
+        let address = listener.local_addr()?;
+        log::info!("listening: name={} address={address} workers={}", config.name, known.len());
         dispatch.endpoint_list(ListUpdate::Cached, known);
         if let Some(address) = admin.local_addr()? {
-            log::info!("{}: operators call at {address}", config.name);
+            log::info!("admin interface listening: name={} address={address}", config.name);
         }
         let mut event_loop = EventLoop {
             poll,
--- a/crates/node/src/event_loop/watch.rs
+++ b/crates/node/src/event_loop/watch.rs
@@ -103,7 +103,7 @@
     /// The dispatcher says when to call again.
     fn handle_watch_failure(&mut self, why: &DiscoveryError) {
         self.endpoints.set_confirmed(false);
-        log::warn!("discovery: {why}");
+        log::warn!("discovery call failed: error={why}");
         if why.hides_list() {
             self.note_answer_start(self.clock.now());
         }
@@ -168,7 +168,7 @@
         if self.endpoints.is_newer_than(&list) {
             // By a list from before a drain its workers would get jobs again. Discovery may as well have started anew,
             // and then its complete list is as good as any.
-            log::warn!("discovery: answer older than the list at hand; asking for the complete list");
+            log::warn!("endpoint list older than the one held: action=request-complete-list");
             self.endpoints.discovery_moved();
         } else {
             self.apply_list(list);
--- a/crates/node/tests/serve/discovery.rs
+++ b/crates/node/tests/serve/discovery.rs
@@ -50,7 +50,7 @@
     // It says nothing more and stays open: the call is made again elsewhere, and this one is given up.
     let mut again = scheduler.accept_discovery_connection();
     assert!(again.message().line.contains("after=41&") && silent.reaches_end());
-    scheduler.wait_for_log("discovery: ");
+    scheduler.wait_for_log("discovery call failed: ");
     let body = "{\r\n\t\"version\": 42,\n  \"full\": false,\n  \"servers\": [\n  ]\n}\n";
     again.send_list(body);
     assert!(again.message().line.contains("after=42&"));
--- a/crates/node/tests/serve/harness.rs
+++ b/crates/node/tests/serve/harness.rs
@@ -184,8 +184,8 @@
         command.env("TMPDIR", env!("CARGO_TARGET_TMPDIR"));
         let mut process = command.stderr(Stdio::piped()).spawn().unwrap();
         let mut log = BufReader::new(process.stderr.take().unwrap());
-        let addr = logged_address(&mut log, "listening on ");
-        let admin_addr = logged_address(&mut log, "operators call at ");
+        let addr = logged_address(&mut log, "] listening: ");
+        let admin_addr = logged_address(&mut log, "admin interface listening: ");
         Scheduler {
             process,
             log,
@@ -312,14 +312,15 @@
     }
 }
 
-/// The address that the log names after these words.
-fn logged_address(log: &mut BufReader<ChildStderr>, before: &str) -> SocketAddr {
+/// The address in the fields of a logged event.
+fn logged_address(log: &mut BufReader<ChildStderr>, event: &str) -> SocketAddr {
     let mut line = String::new();
-    while !line.contains(before) {
+    while !line.contains(event) {
         line.clear();
         assert!(log.read_line(&mut line).unwrap() > 0, "the log ended");
     }
-    let address = line.split(before).nth(1).and_then(|rest| rest.trim().split(',').next()).expect(&line);
+    let fields = line.split(event).nth(1).expect(&line);
+    let address = fields.split_whitespace().find_map(|field| field.strip_prefix("address=")).expect(&line);
     address.parse().unwrap()
 }
 
--- a/crates/setup/src/error.rs
+++ b/crates/setup/src/error.rs
@@ -58,10 +58,3 @@
     let lines: Vec<String> = mistakes.iter().map(|mistake| format!("{}:{mistake}", path.display())).collect();
     lines.join("\n")
 }
-
-/// For callers whose errors are texts.
-impl From<LoadError> for String {
-    fn from(error: LoadError) -> String {
-        error.to_string()
-    }
-}
