--- a/crates/testbed/examples/direct.rs
+++ b/crates/testbed/examples/direct.rs
@@ -11,118 +11,191 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
+use tokio::task::JoinSet;
 
-struct Started(Child);
+/// Requests of each measured load.
+const REQUESTS: usize = 20_000;
+/// The measurement of added time takes turns of `REQUESTS / TURNS` requests.
+const TURNS: usize = 5;
+const OPEN_CONNECTIONS: usize = 1_000;
+const CONNECT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-impl Drop for Started {
-    fn drop(&mut self) {
-        let _ = self.0.kill(); // it may have ended
-        let _ = self.0.wait();
+/// A running program, which ends with this value.
+struct RunningProgram {
+    child: Child,
+    address: SocketAddr,
+}
+
+impl RunningProgram {
+    /// Starts the program with these worker elements and waits until it accepts connections.
+    async fn start(program: &str, workers: &str) -> Result<RunningProgram> {
+        let address = free_address()?;
+        let setup = std::env::temp_dir().join(format!("direct-{}.xml", std::process::id()));
+        let text = format!(
+            "<postusher sockets=\"8192\"><pool name=\"p\" answers=\"direct\">{workers}</pool></postusher>"
+        );
+        std::fs::write(&setup, text)?;
+        let child = Command::new(program)
+            .args(["serve", "--listen", &address.to_string(), "--setup"])
+            .arg(&setup)
+            .env_remove("NODE_CONFIG")
+            .stderr(Stdio::null())
+            .spawn()?;
+        let running = RunningProgram { child, address };
+        while TcpStream::connect(address).await.is_err() {
+            tokio::time::sleep(CONNECT_RETRY_INTERVAL).await;
+        }
+        Ok(running)
+    }
+
+    /// The line of `/proc` that has its resident memory; empty if there is none.
+    fn resident_memory(&self) -> Result<String> {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
+        let line = status.lines().find(|line| line.starts_with("VmRSS:"));
+        Ok(line.unwrap_or("").to_owned())
     }
 }
 
-async fn start(program: &str, workers: &str) -> Result<(Started, SocketAddr)> {
-    let (addr, setup) =
-        (free_address()?, std::env::temp_dir().join(format!("direct-{}.xml", std::process::id())));
-    let text = format!(
-        "<postusher sockets=\"8192\"><pool name=\"p\" answers=\"direct\">{workers}</pool></postusher>"
-    );
-    std::fs::write(&setup, text)?;
-    let child = Command::new(program)
-        .args(["serve", "--listen", &addr.to_string(), "--setup"])
-        .arg(&setup)
-        .env_remove("NODE_CONFIG")
-        .stderr(Stdio::null())
-        .spawn()?;
-    let started = Started(child);
-    while TcpStream::connect(addr).await.is_err() {
-        tokio::time::sleep(Duration::from_millis(10)).await;
+impl Drop for RunningProgram {
+    fn drop(&mut self) {
+        let _ = self.child.kill(); // it may have ended
+        let _ = self.child.wait();
     }
-    Ok((started, addr))
 }
 
-/// Sends so many requests over so many connections at once; gives what each worker had, the times in microseconds, and
-/// how long it took.
-async fn load(
-    addr: SocketAddr,
-    requests: usize,
-    connections: usize,
-) -> Result<(BTreeMap<String, usize>, Histogram<u64>, f64)> {
-    let (begun, mut tasks) = (Instant::now(), tokio::task::JoinSet::new());
+/// An answered request.
+struct Answered {
+    worker: String,
+    micros: u64,
+}
+
+/// What came of a load.
+struct LoadResult {
+    /// Requests by the worker that answered.
+    requests_by_worker: BTreeMap<String, usize>,
+    /// Times of the requests, in microseconds.
+    times: Histogram<u64>,
+    /// How long all took.
+    seconds: f64,
+}
+
+/// Sends requests over several connections at once.
+async fn run_load(address: SocketAddr, requests: usize, connections: usize) -> Result<LoadResult> {
+    let begun = Instant::now();
+    let mut tasks = JoinSet::new();
     for _ in 0..connections {
-        tasks.spawn(async move {
-            let (mut client, mut all) = (Client::new(addr), Vec::new());
-            for _ in 0..requests / connections {
-                let sent = Instant::now();
-                let answer = client.ask("GET /x", &[("Host", "h")], b"").await?;
-                let name = answer.header("X-Worker").unwrap_or("none").to_string();
-                all.push((name, sent.elapsed().as_micros() as u64));
-            }
-            anyhow::Ok(all)
-        });
+        tasks.spawn(send_in_series(address, requests / connections));
     }
-    let (mut had, mut times) = (BTreeMap::new(), Histogram::new(3)?);
-    while let Some(all) = tasks.join_next().await {
-        for (name, micros) in all?? {
-            *had.entry(name).or_insert(0) += 1;
-            times.record(micros)?;
+    let mut requests_by_worker = BTreeMap::new();
+    let mut times = Histogram::new(SIGNIFICANT_DIGITS)?;
+    while let Some(finished) = tasks.join_next().await {
+        for answered in finished?? {
+            *requests_by_worker.entry(answered.worker).or_insert(0) += 1;
+            times.record(answered.micros)?;
         }
     }
-    Ok((had, times, begun.elapsed().as_secs_f64()))
+    Ok(LoadResult { requests_by_worker, times, seconds: begun.elapsed().as_secs_f64() })
 }
 
-#[tokio::main]
-async fn main() -> Result<()> {
-    let program = std::env::args().nth(1).context("say where the program is")?;
+/// Sends requests over one connection, each after the answer to the one before.
+async fn send_in_series(address: SocketAddr, requests: usize) -> Result<Vec<Answered>> {
+    let mut client = Client::new(address);
+    let mut all = Vec::new();
+    for _ in 0..requests {
+        let sent = Instant::now();
+        let answer = client.ask("GET /x", &[("Host", "h")], b"").await?;
+        let worker = answer.header("X-Worker").unwrap_or("none").to_string();
+        all.push(Answered { worker, micros: sent.elapsed().as_micros() as u64 });
+    }
+    Ok(all)
+}
+
+async fn measure_shares(program: &str) -> Result<()> {
     println!("shares over 20,000 requests: workers with weights 5, 3, 2 that take 1, 5 and 20 ms");
+    let mut workers = String::new();
     let mut stand_ins = Vec::new();
-    for (n, ms) in [1, 5, 20].into_iter().enumerate() {
-        stand_ins.push(StandInWorker::start(&format!("w{n}"), Duration::from_millis(ms)).await?);
+    for (index, (weight, millis)) in [(5, 1), (3, 5), (2, 20)].into_iter().enumerate() {
+        let stand_in = StandInWorker::start(&format!("w{index}"), Duration::from_millis(millis)).await?;
+        let StandInWorker { name, addr, .. } = &stand_in;
+        workers += &format!("<worker id=\"{name}\" addr=\"{addr}\" weight=\"{weight}\" most=\"400\"/>");
+        stand_ins.push(stand_in);
     }
-    let worker = |(s, weight): (&StandInWorker, u32)| {
-        format!("<worker id=\"{}\" addr=\"{}\" weight=\"{weight}\" most=\"400\"/>", s.name, s.addr)
-    };
-    let workers: String = stand_ins.iter().zip([5, 3, 2]).map(worker).collect();
     for (name, connections) in [("low", 4), ("middle", 50), ("high", 400)] {
-        let (_program, addr) = start(&program, &workers).await?;
-        let (had, times, took) = load(addr, 20_000, connections).await?;
-        let share = |n: &str| 100.0 * had.get(n).copied().unwrap_or(0) as f64 / 20_000.0;
+        let running = RunningProgram::start(program, &workers).await?;
+        let result = run_load(running.address, REQUESTS, connections).await?;
+        let percent_of = |worker: &str| {
+            let requests = result.requests_by_worker.get(worker).copied().unwrap_or(0);
+            100.0 * requests as f64 / REQUESTS as f64
+        };
         println!(
             "  {name:<6} ({connections:>3} at once): meant 50.0 30.0 20.0, had {:.1} {:.1} {:.1}; {:.0} a second, median {:.1} ms",
-            share("w0"), share("w1"), share("w2"), 20_000.0 / took, times.value_at_quantile(0.5) as f64 / 1e3
+            percent_of("w0"),
+            percent_of("w1"),
+            percent_of("w2"),
+            REQUESTS as f64 / result.seconds,
+            result.times.value_at_quantile(0.5) as f64 / 1e3
         );
     }
-    println!("what it adds, 20,000 requests each, in turns of 4,000:");
-    let alone = StandInWorker::start("alone", Duration::ZERO).await?;
-    let (one, addr) =
-        start(&program, &format!("<worker id=\"a\" addr=\"{}\" most=\"400\"/>", alone.addr)).await?;
+    Ok(())
+}
+
+/// The turns of one way to the worker, taken together.
+struct TurnTotals {
+    name: &'static str,
+    address: SocketAddr,
+    times: Histogram<u64>,
+    seconds: f64,
+}
+
+impl TurnTotals {
+    fn new(name: &'static str, address: SocketAddr) -> Result<TurnTotals> {
+        Ok(TurnTotals { name, address, times: Histogram::new(SIGNIFICANT_DIGITS)?, seconds: 0.0 })
+    }
+}
+
+async fn measure_added_time(worker: SocketAddr, program: SocketAddr) -> Result<()> {
     for connections in [1, 16] {
-        let mut sums = [(Histogram::<u64>::new(3)?, 0.0), (Histogram::<u64>::new(3)?, 0.0)];
-        for _ in 0..5 {
-            for (addr, sum) in [alone.addr, addr].into_iter().zip(&mut sums) {
-                let (_, times, took) = load(addr, 4_000, connections).await?;
-                sum.0.add(times)?;
-                sum.1 += took;
+        let mut ways = [TurnTotals::new("past it", worker)?, TurnTotals::new("through it", program)?];
+        for _ in 0..TURNS {
+            for way in &mut ways {
+                let result = run_load(way.address, REQUESTS / TURNS, connections).await?;
+                way.times.add(result.times)?;
+                way.seconds += result.seconds;
             }
         }
-        for (name, (times, took)) in ["past it", "through it"].iter().zip(&sums) {
-            let at = |q| times.value_at_quantile(q);
+        for TurnTotals { name, times, seconds, .. } in &ways {
             println!(
                 "  {connections:>2} at once, {name:<10}: {:.0} a second, median {} us, p99 {} us",
-                20_000.0 / took,
-                at(0.5),
-                at(0.99)
+                REQUESTS as f64 / seconds,
+                times.value_at_quantile(0.5),
+                times.value_at_quantile(0.99)
             );
         }
     }
+    Ok(())
+}
+
+async fn measure_memory(running: &RunningProgram) -> Result<()> {
     let mut open = Vec::new();
-    for _ in 0..1_000 {
-        let mut client = Client::new(addr);
+    for _ in 0..OPEN_CONNECTIONS {
+        let mut client = Client::new(running.address);
         client.ask("GET /x", &[("Host", "h")], b"").await?;
         open.push(client);
     }
-    let status = std::fs::read_to_string(format!("/proc/{}/status", one.0.id()))?;
-    let resident = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or("");
-    println!("with {} open connections: {resident}", open.len());
+    println!("with {} open connections: {}", open.len(), running.resident_memory()?);
     Ok(())
 }
+
+#[tokio::main]
+async fn main() -> Result<()> {
+    let program = std::env::args().nth(1).context("say where the program is")?;
+    measure_shares(&program).await?;
+    println!("what it adds, 20,000 requests each, in turns of 4,000:");
+    let alone = StandInWorker::start("alone", Duration::ZERO).await?;
+    let worker = format!("<worker id=\"a\" addr=\"{}\" most=\"400\"/>", alone.addr);
+    let running = RunningProgram::start(&program, &worker).await?;
+    measure_added_time(alone.addr, running.address).await?;
+    measure_memory(&running).await
+}
--- a/crates/testbed/examples/member_cost.rs
+++ b/crates/testbed/examples/member_cost.rs
@@ -1,104 +1,167 @@
-//! What membership costs a real process among many: `cargo run --release -p postusher-testbed --example member_cost -- POSTUSHER
-//! [members] [seconds]`. The program is one member; the others are its own state machine on sockets of their own, all in
-//! this process, which plays no part in the figure.
+//! What membership costs a real process among many: `cargo run --release -p postusher-testbed --example member_cost --
+//! POSTUSHER [members] [seconds]`. The program is one member; the others are its own state machine on sockets of their own,
+//! all in this process, whose processor time is not part of the figure.
 
 use anyhow::{bail, Context, Result};
-use postusher_membership::{Action, Config, Member, MemberState};
+use postusher_membership::{Action, Config, Member, MemberState, Millis};
 use postusher_testbed::virtual_net::name_of;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::Path;
 use std::process::{Child, Command};
+use std::thread;
 use std::time::{Duration, Instant};
 
-/// The real one's number.
-const REAL: usize = 0;
-/// Processor time is counted in these, a second (`USER_HZ`, the same on all of Linux).
-const TICKS: f64 = 100.0;
+/// The index of the program among the members.
+const PROGRAM_INDEX: usize = 0;
+/// The index of the member that all others join through.
+const SEED_INDEX: usize = 1;
+/// Hosts of one /24 network that members listen on.
+const HOSTS_PER_NETWORK: usize = 250;
+const PORT: u16 = 7946;
+/// The unit of processor times in `/proc`, per second (`USER_HZ`, the same on all of Linux).
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
+/// Fields of `/proc/PID/stat`, counted after the name of the command.
+const USER_TIME_FIELD: usize = 11;
+const SYSTEM_TIME_FIELD: usize = 12;
+/// Time from the start until the measurement, in which the members find each other.
+const SETTLING_TIME: Duration = Duration::from_secs(30);
+const IDLE_SLEEP: Duration = Duration::from_micros(500);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
+const DEFAULT_MEMBERS: usize = 300;
+const DEFAULT_SECONDS: u64 = 60;
 
-fn addr(n: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, 86, (n / 250) as u8, (n % 250) as u8 + 1), 7946))
+const PROGRAM_CONFIG: &str = r#"{"name": "m0000", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 200},
+        "known": {"version": 1, "full": true, "servers": []},
+        "settings": {"Discovery": "ask", "Zones": ["a"], "Models": ["k"],
+            "Permissions": {"Cancel": true, "ConnectTimeoutMs": 500, "KeepaliveMs": 60000, "MaxAttempts": 2},
+            "Rules": {"ColdFrom": 1, "FallMs": 1, "OverloadFactor": 3, "WarmAfterMs": 1},
+            "Services": [{"Name": "render", "Effect": "repeatable", "GoalTimeMs": 400, "HardLimitMs": 60000}]}}"#;
+
+fn address_of(index: usize) -> SocketAddr {
+    let network = (index / HOSTS_PER_NETWORK) as u8;
+    let host = (index % HOSTS_PER_NETWORK) as u8 + 1;
+    SocketAddr::from((Ipv4Addr::new(127, 86, network, host), PORT))
 }
 
-/// The others.
-struct Others {
-    begun: Instant,
-    members: Vec<(Member, UdpSocket)>,
+/// A member in this process.
+struct LocalMember {
+    member: Member,
+    socket: UdpSocket,
 }
 
-impl Others {
-    fn now(&self) -> f64 {
-        self.begun.elapsed().as_secs_f64() * 1e3
+/// All members but the program; the first one is the seed.
+struct LocalMembers {
+    started: Instant,
+    members: Vec<LocalMember>,
+}
+
+impl LocalMembers {
+    /// Members of a cluster of this size on sockets of their own.
+    fn bind(cluster_size: usize) -> Result<LocalMembers> {
+        let started = Instant::now();
+        let mut members = Vec::new();
+        for index in SEED_INDEX..cluster_size {
+            let zone = format!("z{}", index % 3);
+            let mut config = Config::new("postusher", &name_of(index), &zone, address_of(index));
+            if index != SEED_INDEX {
+                config.seeds = vec![address_of(SEED_INDEX)];
+            }
+            let socket = UdpSocket::bind(address_of(index))?;
+            socket.set_nonblocking(true)?;
+            members.push(LocalMember { member: Member::new(config, index as u64, 0.0), socket });
+        }
+        Ok(LocalMembers { started, members })
     }
 
-    /// Everybody's turn; how many datagrams came.
-    fn turn(&mut self) -> Result<usize> {
-        let (mut bytes, mut came) = (vec![0; 64 * 1024], 0);
-        for n in 0..self.members.len() {
-            let (now, mut out) = (self.now(), Vec::new());
-            let (member, socket) = &mut self.members[n];
-            while let Ok((length, from)) = socket.recv_from(&mut bytes) {
-                came += 1;
-                member.receive_datagram(from, &bytes[..length], now, &mut out);
+    fn now(&self) -> Millis {
+        self.started.elapsed().as_secs_f64() * 1e3
+    }
+
+    /// Handles the datagrams and the timer of each member; the number of datagrams received.
+    fn poll(&mut self) -> Result<usize> {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        let mut received = 0;
+        for position in 0..self.members.len() {
+            let now = self.now();
+            let mut actions = Vec::new();
+            let LocalMember { member, socket } = &mut self.members[position];
+            while let Ok((length, from)) = socket.recv_from(&mut buffer) {
+                received += 1;
+                member.receive_datagram(from, &buffer[..length], now, &mut actions);
             }
             if member.next_timer().is_some_and(|at| at <= now) {
-                member.advance(now, &mut out);
+                member.advance(now, &mut actions);
             }
-            for action in out {
-                match action {
-                    Action::SendDatagram { to, bytes } => {
-                        let _ = self.members[n].1.send_to(&bytes, to);
-                    }
-                    Action::ExchangeState { with } => self.exchange(n, with),
-                    Action::Terminate { reason } => bail!("{reason}"),
+            self.perform_actions(position, actions)?;
+        }
+        Ok(received)
+    }
+
+    fn perform_actions(&mut self, position: usize, actions: Vec<Action>) -> Result<()> {
+        for action in actions {
+            match action {
+                Action::SendDatagram { to, bytes } => {
+                    // A datagram that is not sent counts as lost, which the protocol bears.
+                    let _ = self.members[position].socket.send_to(&bytes, to);
                 }
+                Action::ExchangeState { with } => self.exchange_locally(position, with),
+                Action::Terminate { reason } => bail!("{reason}"),
             }
         }
-        Ok(came)
+        Ok(())
     }
 
-    /// Among themselves without a connection; the real one opens its own.
-    fn exchange(&mut self, n: usize, with: SocketAddr) {
+    /// Exchanges states between two local members without a connection; the program opens its own.
+    fn exchange_locally(&mut self, position: usize, with: SocketAddr) {
         let now = self.now();
-        let Some(other) = (0..self.members.len()).find(|m| addr(m + 1) == with) else { return };
-        let (mine, theirs) = (self.members[n].0.encode_state(), self.members[other].0.encode_state());
-        // What would be sent at once is sent with the next wake.
-        self.members[other].0.merge_state(&mine, now, &mut Vec::new());
-        self.members[n].0.merge_state(&theirs, now, &mut Vec::new());
+        let other = (0..self.members.len()).find(|other| address_of(other + SEED_INDEX) == with);
+        let Some(other) = other else { return };
+        let own_state = self.members[position].member.encode_state();
+        let other_state = self.members[other].member.encode_state();
+        // The actions that follow are repeated at the next timer.
+        self.members[other].member.merge_state(&own_state, now, &mut Vec::new());
+        self.members[position].member.merge_state(&other_state, now, &mut Vec::new());
     }
 
-    /// The real one asks the seed for its state, or tells its own.
-    fn asked(&mut self, mut stream: TcpStream) -> Result<()> {
+    /// Answers a gossip exchange that the program has opened with the seed.
+    fn answer_exchange(&mut self, mut stream: TcpStream) -> Result<()> {
         stream.set_nonblocking(false)?;
-        stream.set_read_timeout(Some(Duration::from_secs(2)))?;
+        stream.set_read_timeout(Some(EXCHANGE_TIMEOUT))?;
         let mut length = [0; 4];
         stream.read_exact(&mut length)?;
-        let mut whole = vec![0; u32::from_be_bytes(length) as usize];
-        stream.read_exact(&mut whole)?;
+        let mut program_state = vec![0; u32::from_be_bytes(length) as usize];
+        stream.read_exact(&mut program_state)?;
         let now = self.now();
-        let mine = self.members[0].0.encode_state();
-        stream.write_all(&(mine.len() as u32).to_be_bytes())?;
-        stream.write_all(&mine)?;
-        self.members[0].0.merge_state(&whole, now, &mut Vec::new());
+        let seed = &mut self.members[0].member;
+        let seed_state = seed.encode_state();
+        stream.write_all(&(seed_state.len() as u32).to_be_bytes())?;
+        stream.write_all(&seed_state)?;
+        seed.merge_state(&program_state, now, &mut Vec::new());
         Ok(())
     }
+
+    /// The members that believe all of a cluster of this size to be alive.
+    fn count_complete_views(&self, cluster_size: usize) -> usize {
+        let is_complete = |local: &&LocalMember| {
+            let view = local.member.view();
+            let alive = view.members.iter().filter(|member| member.state() == MemberState::Alive);
+            alive.count() == cluster_size
+        };
+        self.members.iter().filter(is_complete).count()
+    }
 }
 
-/// The program as a member, and no work.
-fn start(program: &str, dir: &Path) -> Result<Child> {
-    std::fs::create_dir_all(dir)?;
-    let (config, setup) = (dir.join("config.json"), dir.join("setup.xml"));
-    std::fs::write(
-        &config,
-        r#"{"name": "m0000", "listen": "127.0.0.1:0", "mgmt": "127.0.0.1:0", "discovery": "127.0.0.1:9", "seed": "1",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 200},
-        "known": {"version": 1, "full": true, "servers": []},
-        "settings": {"Discovery": "ask", "Zones": ["a"], "Models": ["k"],
-            "Permissions": {"Cancel": true, "ConnectTimeoutMs": 500, "KeepaliveMs": 60000, "MaxAttempts": 2},
-            "Rules": {"ColdFrom": 1, "FallMs": 1, "OverloadFactor": 3, "WarmAfterMs": 1},
-            "Services": [{"Name": "render", "Effect": "repeatable", "GoalTimeMs": 400, "HardLimitMs": 60000}]}}"#,
-    )?;
-    let (listen, seed) = (addr(REAL), addr(1));
+/// Starts the program as a member that has no jobs.
+fn start_program(program: &str, directory: &Path) -> Result<Child> {
+    std::fs::create_dir_all(directory)?;
+    let config = directory.join("config.json");
+    std::fs::write(&config, PROGRAM_CONFIG)?;
+    let listen = address_of(PROGRAM_INDEX);
+    let seed = address_of(SEED_INDEX);
+    let setup = directory.join("setup.xml");
     let members = format!(
         r#"<postusher><members name="m0000" zone="z0" listen="{listen}"><seed addr="{seed}"/></members></postusher>"#
     );
@@ -109,68 +172,94 @@
 }
 
 /// Processor time of a process so far, in seconds (Linux).
-fn cpu(id: u32) -> Result<f64> {
-    let stat = std::fs::read_to_string(format!("/proc/{id}/stat"))?;
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).context("no times in /proc");
-    Ok((ticks(11)? + ticks(12)?) / TICKS)
+fn processor_seconds(process_id: u32) -> Result<f64> {
+    let stat = std::fs::read_to_string(format!("/proc/{process_id}/stat"))?;
+    // The name of the command is in parentheses and may have blanks.
+    let after_name = stat.rsplit(')').next().unwrap_or("");
+    let fields: Vec<&str> = after_name.split_whitespace().collect();
+    let ticks = |index: usize| -> Result<f64> {
+        let field = fields.get(index).context("no times in /proc")?;
+        Ok(field.parse()?)
+    };
+    Ok((ticks(USER_TIME_FIELD)? + ticks(SYSTEM_TIME_FIELD)?) / CLOCK_TICKS_PER_SECOND)
 }
 
-fn main() -> Result<()> {
-    let mut args = std::env::args().skip(1);
-    let program = args.next().context("the program to measure")?;
-    let members: usize = args.next().map_or(Ok(300), |n| n.parse())?;
-    let seconds: u64 = args.next().map_or(Ok(60), |n| n.parse())?;
-    let seed = TcpListener::bind(addr(1))?;
-    seed.set_nonblocking(true)?;
-    let mut others = Others { begun: Instant::now(), members: Vec::new() };
-    for n in 1..members {
-        let config = Config::new("postusher", &name_of(n), &format!("z{}", n % 3), addr(n));
-        let seeds = if n == 1 { Vec::new() } else { vec![addr(1)] };
-        let socket = UdpSocket::bind(addr(n))?;
-        socket.set_nonblocking(true)?;
-        others.members.push((Member::new(Config { seeds, ..config }, n as u64, 0.0), socket));
-    }
-    let dir = std::env::temp_dir().join(format!("member-cost-{}", std::process::id()));
-    let mut real = start(&program, &dir)?;
-    let played = play(&mut others, &seed, &real, members, seconds);
-    real.kill()?;
-    real.wait()?;
-    std::fs::remove_dir_all(dir)?;
-    played
+/// The state at the beginning of the measurement.
+struct Baseline {
+    processor_seconds: f64,
+    /// Since the start of the cluster.
+    taken_after: Duration,
+    complete_views: usize,
 }
 
-fn play(others: &mut Others, seed: &TcpListener, real: &Child, members: usize, seconds: u64) -> Result<()> {
-    let mut counted = None;
-    let settle = Duration::from_secs(30);
+/// Runs the cluster until the measurement is complete, and prints it.
+fn measure(
+    locals: &mut LocalMembers,
+    seed: &TcpListener,
+    program: &Child,
+    cluster_size: usize,
+    duration: Duration,
+) -> Result<()> {
+    let mut baseline = None;
     loop {
         if let Ok((stream, _)) = seed.accept() {
-            others.asked(stream)?;
+            locals.answer_exchange(stream)?;
         }
-        if others.turn()? == 0 {
-            std::thread::sleep(Duration::from_micros(500));
+        if locals.poll()? == 0 {
+            thread::sleep(IDLE_SLEEP);
         }
-        let since = others.begun.elapsed();
-        let knows = |m: &Member| m.view().members.iter().filter(|v| v.state() == MemberState::Alive).count();
-        if counted.is_none() && since > settle {
-            let agreed = others.members.iter().filter(|(m, _)| knows(m) == members).count();
-            counted = Some((cpu(real.id())?, since, agreed));
+        let elapsed = locals.started.elapsed();
+        match &baseline {
+            None if elapsed > SETTLING_TIME => {
+                baseline = Some(Baseline {
+                    processor_seconds: processor_seconds(program.id())?,
+                    taken_after: elapsed,
+                    complete_views: locals.count_complete_views(cluster_size),
+                });
+            }
+            Some(baseline) if elapsed - baseline.taken_after >= duration => {
+                return print_cost(locals, program, cluster_size, baseline, elapsed);
+            }
+            None | Some(_) => {}
         }
-        let Some((before, from, agreed)) =
-            counted.filter(|(_, from, _)| since - *from >= Duration::from_secs(seconds))
-        else {
-            continue;
-        };
-        let (used, lasted) = (cpu(real.id())? - before, (since - from).as_secs_f64());
-        let still = others.members.iter().filter(|(m, _)| knows(m) == members).count();
-        println!(
-            "{members} members, {agreed} of {} others knew all at first, {still} at the end",
-            members - 1
-        );
-        println!(
-            "processor time of the real one: {used:.2} s in {lasted:.0} s, {:.2}% of a core",
-            100.0 * used / lasted
-        );
-        return Ok(());
     }
 }
+
+fn print_cost(
+    locals: &LocalMembers,
+    program: &Child,
+    cluster_size: usize,
+    baseline: &Baseline,
+    elapsed: Duration,
+) -> Result<()> {
+    let used = processor_seconds(program.id())? - baseline.processor_seconds;
+    let lasted = (elapsed - baseline.taken_after).as_secs_f64();
+    let complete_before = baseline.complete_views;
+    let complete_after = locals.count_complete_views(cluster_size);
+    println!(
+        "{cluster_size} members, {complete_before} of {} others knew all at first, {complete_after} at the end",
+        cluster_size - 1
+    );
+    println!(
+        "processor time of the real one: {used:.2} s in {lasted:.0} s, {:.2}% of a core",
+        100.0 * used / lasted
+    );
+    Ok(())
+}
+
+fn main() -> Result<()> {
+    let mut args = std::env::args().skip(1);
+    let program = args.next().context("the program to measure")?;
+    let cluster_size: usize = args.next().map_or(Ok(DEFAULT_MEMBERS), |text| text.parse())?;
+    let seconds: u64 = args.next().map_or(Ok(DEFAULT_SECONDS), |text| text.parse())?;
+    let seed = TcpListener::bind(address_of(SEED_INDEX))?;
+    seed.set_nonblocking(true)?;
+    let mut locals = LocalMembers::bind(cluster_size)?;
+    let directory = std::env::temp_dir().join(format!("member-cost-{}", std::process::id()));
+    let mut program = start_program(&program, &directory)?;
+    let measured = measure(&mut locals, &seed, &program, cluster_size, Duration::from_secs(seconds));
+    program.kill()?;
+    program.wait()?;
+    std::fs::remove_dir_all(directory)?;
+    measured
+}
--- /dev/null
+++ b/crates/testbed/tests/members/main.rs
@@ -0,0 +1,43 @@
+//! Members over a modelled network in virtual time: pauses, lost messages, partitions, mass events. Seeds are fixed, and
+//! so is everything that happens.
+
+mod left_out_mechanisms;
+mod lifecycle;
+mod links;
+mod mass_events;
+mod names;
+mod partitions;
+mod pauses;
+mod simulation;
+
+use postusher_membership::{MemberStatus, Millis};
+use postusher_testbed::virtual_net::{StatusChange, VirtualNetwork};
+
+const PROBE_INTERVAL: Millis = 1_000.0;
+
+/// Removals of members, without those of members that are expected to be removed.
+fn false_removals(network: &VirtualNetwork, expected: &[usize]) -> Vec<StatusChange> {
+    let is_false = |change: &&StatusChange| {
+        change.status == MemberStatus::Removed && !expected.contains(&change.subject)
+    };
+    network.status_changes.iter().filter(is_false).cloned().collect()
+}
+
+/// Probe intervals from a time until the last of the observers has removed a member; `None` if one of them has not.
+fn intervals_until_known(
+    network: &VirtualNetwork,
+    subject: usize,
+    from: Millis,
+    observers: &[usize],
+) -> Option<f64> {
+    let mut last_known_at: Millis = 0.0;
+    for observer in observers {
+        let removal = network.status_changes.iter().find(|change| {
+            change.observer == *observer
+                && change.subject == subject
+                && change.status == MemberStatus::Removed
+        })?;
+        last_known_at = last_known_at.max(removal.at);
+    }
+    Some((last_known_at - from) / PROBE_INTERVAL)
+}
