--- a/node/src/target_group.rs
+++ b/crates/node/src/endpoint_list.rs
@@ -2,41 +2,41 @@
 
 use crate::discovery::{self, Call, Entry, List};
 use crate::intake::fnv;
-use postusher::{ListKind, Member, Readiness, WorkerId};
-use postusher_settings::{micros, Site};
+use postusher_decision::{Endpoint, EndpointState, ListUpdate, WorkerId};
+use postusher_settings::{micros_from_millis, SiteSettings};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A target as the scheduler knows it.
-pub struct Target {
+/// A worker as the scheduler knows it.
+pub struct ListedWorker {
     /// Discovery's name for it.
     pub name: Rc<str>,
     /// Where it listens.
     pub addr: SocketAddr,
 }
 
-/// The targets that the list has named.
-pub struct TargetGroup {
-    targets: HashMap<WorkerId, Target>,
+/// The workers that the list has named.
+pub struct EndpointList {
+    workers: HashMap<WorkerId, ListedWorker>,
     /// The numbers of all names that stand on the list or are taken out. Guards against: a name whose number is another's hash,
     /// which would have two numbers once that other has gone, and go on under the one of which no more is heard.
     numbers: HashMap<Rc<str>, WorkerId>,
     /// Those that an operator has taken out, on the list or not: their numbers stay theirs.
-    taken_out: BTreeMap<WorkerId, Rc<str>>,
+    disabled: BTreeMap<WorkerId, Rc<str>>,
     version: Option<u64>,
     /// The last call to discovery was answered: what is held is as new as discovery's own list, and the next call may wait.
     confirmed: bool,
     zones: Vec<String>,
-    models: Vec<String>,
+    machine_kinds: Vec<String>,
 }
 
 /// What a list has changed.
-pub struct Applied {
+pub struct ListChange {
     /// Whether it was a whole list.
-    pub kind: ListKind,
+    pub update: ListUpdate,
     /// Its lines, for the module.
-    pub members: Vec<Member>,
+    pub endpoints: Vec<Endpoint>,
     /// Targets that are gone or have another address: connections to them are of no more use.
     pub stale: Vec<WorkerId>,
 }
@@ -46,57 +46,57 @@
     names.iter().position(|n| n == name).map_or(u16::MAX, |i| i as u16)
 }
 
-impl TargetGroup {
-    /// No targets.
-    pub fn new(site: &Site) -> Self {
-        let (zones, models) = (site.zones.clone(), site.models.clone());
-        let (targets, numbers, taken_out) = (HashMap::new(), HashMap::new(), BTreeMap::new());
-        TargetGroup { targets, numbers, taken_out, version: None, confirmed: false, zones, models }
+impl EndpointList {
+    /// No workers.
+    pub fn new(site: &SiteSettings) -> Self {
+        let (zones, machine_kinds) = (site.zones.clone(), site.machine_kinds.clone());
+        let (workers, numbers, disabled) = (HashMap::new(), HashMap::new(), BTreeMap::new());
+        EndpointList { workers, numbers, disabled, version: None, confirmed: false, zones, machine_kinds }
     }
 
-    /// A target that the list has named.
-    pub fn get(&self, id: WorkerId) -> Option<&Target> {
-        self.targets.get(&id)
+    /// A worker that the list has named.
+    pub fn get(&self, id: WorkerId) -> Option<&ListedWorker> {
+        self.workers.get(&id)
     }
 
-    /// The targets on the list.
-    pub fn listed(&self) -> impl Iterator<Item = WorkerId> + '_ {
-        self.targets.keys().copied()
+    /// The workers on the list.
+    pub fn listed_workers(&self) -> impl Iterator<Item = WorkerId> + '_ {
+        self.workers.keys().copied()
     }
 
     /// Takes in a list or changes. Costs time in proportion to what is listed and held.
-    pub fn apply(&mut self, list: List) -> Applied {
+    pub fn apply(&mut self, list: List) -> ListChange {
         self.version = list.version.or(self.version);
         let full = list.full;
         let mut stale = Vec::new();
-        let members: Vec<Member> =
-            list.entries.into_iter().map(|entry| self.member(entry, &mut stale)).collect();
+        let endpoints: Vec<Endpoint> =
+            list.entries.into_iter().map(|entry| self.endpoint(entry, &mut stale)).collect();
         let gone: Vec<WorkerId> = if full {
-            let listed: HashSet<WorkerId> = members.iter().map(|m| m.worker).collect();
-            self.targets.keys().filter(|id| !listed.contains(id)).copied().collect()
+            let listed: HashSet<WorkerId> = endpoints.iter().map(|m| m.worker).collect();
+            self.workers.keys().filter(|id| !listed.contains(id)).copied().collect()
         } else {
             Vec::new()
         };
-        let removed = members.iter().filter(|m| m.readiness == Readiness::Gone).map(|m| m.worker);
+        let removed = endpoints.iter().filter(|m| m.state == EndpointState::Removed).map(|m| m.worker);
         for id in gone.into_iter().chain(removed) {
-            if let Some(target) = self.targets.remove(&id) {
-                self.forget_number(&target.name, id);
+            if let Some(worker) = self.workers.remove(&id) {
+                self.forget_number(&worker.name, id);
                 stale.push(id);
             }
         }
-        Applied { kind: if full { ListKind::Full } else { ListKind::Delta }, members, stale }
+        ListChange { update: if full { ListUpdate::Complete } else { ListUpdate::Changes }, endpoints, stale }
     }
 
     /// A name that is neither listed nor taken out has no number any more.
     fn forget_number(&mut self, name: &str, id: WorkerId) {
-        if !self.targets.contains_key(&id) && !self.taken_out.contains_key(&id) {
+        if !self.workers.contains_key(&id) && !self.disabled.contains_key(&id) {
             self.numbers.remove(name);
         }
     }
 
     /// The list comes from another service from now on. Guards against: a call for the changes since a version
     /// that only the service before it knows.
-    pub fn moved(&mut self) {
+    pub fn discovery_moved(&mut self) {
         (self.version, self.confirmed) = (None, false);
     }
 
@@ -111,27 +111,27 @@
     }
 
     /// Takes in one line; `stale` gets a worker that has moved, as jobs must not be sent over connections from before.
-    fn member(&mut self, e: Entry, stale: &mut Vec<WorkerId>) -> Member {
+    fn endpoint(&mut self, e: Entry, stale: &mut Vec<WorkerId>) -> Endpoint {
         let worker = self.number(&e.id);
-        let name = self.targets.get(&worker).map_or_else(|| Rc::from(e.id.as_str()), |t| t.name.clone());
-        let before = self.targets.insert(worker, Target { name, addr: e.addr });
+        let name = self.workers.get(&worker).map_or_else(|| Rc::from(e.id.as_str()), |t| t.name.clone());
+        let before = self.workers.insert(worker, ListedWorker { name, addr: e.addr });
         stale.extend(before.filter(|t| t.addr != e.addr).map(|_| worker));
-        Member {
+        Endpoint {
             worker,
-            readiness: match e.state.as_str() {
-                "up" => Readiness::Ready,
-                "removed" => Readiness::Gone,
-                _ => Readiness::Draining, // a state that is not known wants nothing new
+            state: match e.state.as_str() {
+                "up" => EndpointState::Ready,
+                "removed" => EndpointState::Removed,
+                _ => EndpointState::Draining, // a state that is not known wants nothing new
             },
-            heft: e.weight,
-            up_since: micros(e.started_ms),
+            capacity_weight: e.weight,
+            started_at: micros_from_millis(e.started_ms),
             cell: e.cell,
-            kind: place(&self.models, &e.kind),
+            kind: place(&self.machine_kinds, &e.kind),
             zone: place(&self.zones, &e.zone),
         }
     }
 
-    /// A name's number: the one that it has, else by hash, so that all schedulers find the same target for a key; the next
+    /// A name's number: the one that it has, else by hash, so that all schedulers find the same worker for a key; the next
     /// where that is taken by another name.
     pub fn id(&self, name: &str) -> WorkerId {
         if let Some(id) = self.numbers.get(name) {
@@ -155,35 +155,35 @@
 
     /// Whose number this is.
     fn name(&self, id: WorkerId) -> Option<&Rc<str>> {
-        self.targets.get(&id).map(|t| &t.name).or_else(|| self.taken_out.get(&id))
+        self.workers.get(&id).map(|t| &t.name).or_else(|| self.disabled.get(&id))
     }
 
-    /// An operator takes a target out; `None` if the list does not name it and it is not out already. Guards
-    /// against: a slip of the pen that is taken for a target.
-    pub fn take_out(&mut self, name: &str) -> Option<WorkerId> {
+    /// An operator takes a worker out; `None` if the list does not name it and it is not out already. Guards
+    /// against: a slip of the pen that is taken for a worker.
+    pub fn disable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         let name = self.name(id)?.clone();
-        self.taken_out.insert(id, name);
+        self.disabled.insert(id, name);
         Some(id)
     }
 
-    /// Another process of this scheduler has taken a target out, be it listed here or not.
-    pub fn hold(&mut self, name: &str) -> WorkerId {
+    /// Another process of this scheduler has taken a worker out, be it listed here or not.
+    pub fn disable_unlisted(&mut self, name: &str) -> WorkerId {
         let id = self.number(name);
-        self.taken_out.insert(id, name.into());
+        self.disabled.insert(id, name.into());
         id
     }
 
-    /// The names of the targets that are out.
-    pub fn names_out(&self) -> impl Iterator<Item = &str> + '_ {
-        self.taken_out.values().map(|name| &**name)
+    /// The names of the workers that are out.
+    pub fn disabled_names(&self) -> impl Iterator<Item = &str> + '_ {
+        self.disabled.values().map(|name| &**name)
     }
 
-    /// An operator takes a target back, likewise; one call undoes any number of those out.
-    pub fn take_back(&mut self, name: &str) -> Option<WorkerId> {
+    /// An operator takes a worker back, likewise; one call undoes any number of those out.
+    pub fn enable(&mut self, name: &str) -> Option<WorkerId> {
         let id = self.id(name);
         self.name(id)?;
-        self.taken_out.remove(&id);
+        self.disabled.remove(&id);
         self.forget_number(name, id);
         Some(id)
     }
--- a/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -2,22 +2,22 @@
 
 use crate::clock::{Clock, Millis, Timers};
 use crate::config::Config;
+use crate::connection_id::ConnectionId;
 use crate::discovery;
-use crate::dispatch::{Deed, Dispatch};
+use crate::dispatch::{Command, Dispatch};
+use crate::downstream;
 use crate::drain::Drain;
-use crate::forward::{self, Pool, Task};
-use crate::handover::{self, Message, Word};
+use crate::endpoint_list::EndpointList;
 use crate::http::{Outbox, RequestLine};
-use crate::key::Key;
-use crate::listener;
-use crate::members::Exchange;
+use crate::membership::StateExchange;
 use crate::reload::Reload;
-use crate::target_group::TargetGroup;
-use members::Membership;
+use crate::upgrade_protocol::{self, JobEnd, Message};
+use crate::upstream::{self, Pool, Task};
+use membership::Membership;
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token};
-use postusher::{JobId, ListKind};
-use postusher_settings::Site;
+use postusher_decision::{JobId, ListUpdate};
+use postusher_settings::SiteSettings;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook_mio::v1_0::Signals;
 use slab::Slab;
@@ -27,14 +27,14 @@
 use std::time::Duration;
 use upgrade::Upgrade;
 
-mod forwards;
-mod inherit;
-mod listeners;
-mod managers;
-mod members;
+mod admin;
+mod descriptor_passing;
+mod downstreams;
+mod membership;
 mod signals;
 mod sockets;
 mod upgrade;
+mod upstreams;
 mod watch;
 
 const LISTENER: Token = Token(usize::MAX);
@@ -44,12 +44,12 @@
 const DOOR: Token = Token(usize::MAX - 4);
 const DATAGRAMS: Token = Token(usize::MAX - 5);
 const EXCHANGES: Token = Token(usize::MAX - 6);
-/// Descriptors beside the connections of clients and targets: standard streams, poll, listener, signals, discovery, the
+/// Descriptors beside the connections of clients and workers: standard streams, poll, listener, signals, discovery, the
 /// other process of an upgrade, and room for what libraries open.
 const OWN_DESCRIPTORS: usize = 13;
 /// A process that shares few descriptors with another in an upgrade has this many connections all the same.
 const FEWEST_CONNECTIONS: usize = 8;
-/// One in so many of the others is for connections to targets.
+/// One in so many of the others is for connections to workers.
 const FORWARDS_ONE_IN: usize = 4;
 /// The loop looks around at least this often.
 const LONGEST_SLEEP: Millis = 1_000.0;
@@ -58,49 +58,49 @@
 /// Between two lines of counters in the log.
 const COUNTERS_EVERY: Millis = 60_000.0;
 
-/// How many connections from outside and to targets there may be, of so many descriptors.
+/// How many connections from outside and to workers there may be, of so many descriptors.
 fn shares(descriptors: usize, managed: bool, member: bool) -> (usize, usize) {
-    let own = OWN_DESCRIPTORS + if managed { managers::DESCRIPTORS } else { 0 };
-    let own = own + if member { members::DESCRIPTORS } else { 0 };
+    let own = OWN_DESCRIPTORS + if managed { admin::DESCRIPTORS } else { 0 };
+    let own = own + if member { membership::DESCRIPTORS } else { 0 };
     let connections = descriptors.saturating_sub(own).max(FEWEST_CONNECTIONS);
     (connections - connections / FORWARDS_ONE_IN, connections / FORWARDS_ONE_IN)
 }
 
 enum Role {
-    /// A client's connection, or one that a target brings news on; the request at hand.
-    Listener(listener::Connection, Option<JobId>),
+    /// A client's connection, or one that a worker brings news on; the request at hand.
+    Downstream(downstream::Connection, Option<JobId>),
     /// An operator's connection.
-    Manager(listener::Connection),
-    /// A connection to a target.
-    Forward(forward::Connection),
+    Admin(downstream::Connection),
+    /// A connection to a worker.
+    Upstream(upstream::Connection),
     /// The connection to discovery.
     Discovery(discovery::Connection),
     /// A connection to or from another member.
-    Exchange(Exchange),
+    StateExchange(StateExchange),
 }
 
 impl Role {
     fn outbox(&mut self) -> &mut Outbox {
         match self {
-            Role::Listener(c, _) | Role::Manager(c) => &mut c.outbox,
-            Role::Forward(c) => &mut c.outbox,
+            Role::Downstream(c, _) | Role::Admin(c) => &mut c.outbox,
+            Role::Upstream(c) => &mut c.outbox,
             Role::Discovery(c) => &mut c.outbox,
-            Role::Exchange(c) => &mut c.outbox,
+            Role::StateExchange(c) => &mut c.outbox,
         }
     }
 
     /// The side of a connection that others opened, if they did.
-    fn outside(&mut self) -> Option<&mut listener::Connection> {
+    fn outside(&mut self) -> Option<&mut downstream::Connection> {
         match self {
-            Role::Listener(c, _) | Role::Manager(c) => Some(c),
+            Role::Downstream(c, _) | Role::Admin(c) => Some(c),
             _ => None,
         }
     }
 
     /// The same, to look at.
-    fn outside_ref(&self) -> Option<&listener::Connection> {
+    fn outside_ref(&self) -> Option<&downstream::Connection> {
         match self {
-            Role::Listener(c, _) | Role::Manager(c) => Some(c),
+            Role::Downstream(c, _) | Role::Admin(c) => Some(c),
             _ => None,
         }
     }
@@ -108,7 +108,7 @@
 
 struct Socket {
     stream: TcpStream,
-    key: Key,
+    key: ConnectionId,
     role: Role,
     /// A connect that has not come up or failed yet.
     connecting: bool,
@@ -122,19 +122,19 @@
 pub struct EventLoop {
     poll: Poll,
     clock: Clock,
-    site: Rc<Site>,
+    site: Rc<SiteSettings>,
     discovery: SocketAddr,
     /// Where clients connect; none once the process is about to end.
     listener: Option<TcpListener>,
     /// Where operators call, and how many of their connections there are.
-    management: Option<TcpListener>,
-    managers: usize,
-    /// Calls of this turn with their answers; none: the figures.
-    called: Vec<(Key, Option<Vec<u8>>)>,
+    admin_listener: Option<TcpListener>,
+    admin_connections: usize,
+    /// Calls of this turn with their answers; none: the metrics.
+    called: Vec<(ConnectionId, Option<Vec<u8>>)>,
     /// When to look for new connections unasked; 0: not before one is told of.
     accept_at: Millis,
     /// Connections that have had their part of a turn and may have more.
-    again: Vec<Key>,
+    again: Vec<ConnectionId>,
     signals: Signals,
     reload: Reload,
     upgrade: Upgrade,
@@ -143,16 +143,16 @@
     sockets: Slab<Socket>,
     serial: u64,
     /// Connections that others opened, and how many there may be.
-    listeners: usize,
-    most_listeners: usize,
-    /// Connections to targets, likewise.
-    forwards: usize,
-    most_forwards: usize,
+    downstreams: usize,
+    max_downstreams: usize,
+    /// Connections to workers, likewise.
+    upstreams: usize,
+    max_upstreams: usize,
     /// This scheduler as a member among others, where the setup says so.
     members: Option<Membership>,
     dispatch: Dispatch,
-    group: TargetGroup,
-    watch: Option<Key>,
+    endpoints: EndpointList,
+    watch: Option<ConnectionId>,
     /// A list of discovery's holds this many bytes at most.
     max_list: usize,
     /// Discovery has been called since the start.
@@ -160,7 +160,7 @@
     /// Since when an answer of discovery has begun that was not taken in yet.
     answer_begun: Option<Millis>,
     pool: Pool,
-    timers: Timers<Key>,
+    timers: Timers<ConnectionId>,
     drain: Drain,
     counters_at: Millis,
     /// When to say again that descriptors are short.
@@ -179,35 +179,30 @@
     pub fn new(config: Config, reload: Reload, mut signals: Signals, clock: Clock) -> io::Result<EventLoop> {
         let now = clock.now();
         let poll = Poll::new()?;
-        let path = handover::meeting_place(config.listen);
-        let start = inherit::start(config.listen, path.as_deref(), &clock)
+        let path = upgrade_protocol::socket_path(config.listen);
+        let start = descriptor_passing::start(config.listen, path.as_deref(), &clock)
             .map_err(|e| io::Error::new(e.kind(), format!("listening on {}: {e}", config.listen)))?;
         start.listener.set_nonblocking(true)?;
         let listener = TcpListener::from_std(start.listener);
         poll.registry().register(&mut signals, SIGNAL, Interest::READABLE)?;
-        let management = config.mgmt.map(|addr| managers::listen(addr, poll.registry())).transpose()?;
-        let (most_listeners, most_forwards) =
-            shares(config.sockets, management.is_some(), config.setup.0.members.is_some());
+        let admin_listener = config.mgmt.map(|addr| admin::listen(addr, poll.registry())).transpose()?;
+        let (max_downstreams, max_upstreams) =
+            shares(config.sockets, admin_listener.is_some(), config.setup.0.members.is_some());
         let mut membership = config.setup.0.members.as_ref().map(|m| Membership::new(m, config.seed, &clock));
         // In an upgrade the process before has the address until this one takes clients.
         if let Some(membership) = membership.as_mut().filter(|_| start.before.is_none()) {
             membership.bind(poll.registry())?;
         }
         let site = Rc::new(config.site);
-        let longest = site.classes.iter().map(|(_, limit)| *limit).fold(0.0, f64::max);
+        let longest = site.classes.iter().map(|class| class.max_wait_ms).fold(0.0, f64::max);
         let limits = config.setup.limits(&site);
-        let mut dispatch = Dispatch::new(site.clone(), config.seed, now).with_waiting(limits);
-        let mut group = TargetGroup::new(&site);
-        let members = group.apply(config.known).members;
-        log::info!(
-            "{}: listening on {}, {} targets known",
-            config.name,
-            listener.local_addr()?,
-            members.len()
-        );
-        dispatch.members(ListKind::Cached, members);
-        if let Some(management) = &management {
-            log::info!("{}: operators call at {}", config.name, management.local_addr()?);
+        let mut dispatch = Dispatch::new(site.clone(), config.seed, now).with_deferral(limits);
+        let mut endpoints = EndpointList::new(&site);
+        let known = endpoints.apply(config.known).endpoints;
+        log::info!("{}: listening on {}, {} workers known", config.name, listener.local_addr()?, known.len());
+        dispatch.endpoint_list(ListUpdate::Cached, known);
+        if let Some(admin_listener) = &admin_listener {
+            log::info!("{}: operators call at {}", config.name, admin_listener.local_addr()?);
         }
         let mut new = EventLoop {
             poll,
@@ -215,8 +210,8 @@
             site,
             discovery: config.discovery,
             listener: Some(listener),
-            management,
-            managers: 0,
+            admin_listener,
+            admin_connections: 0,
             called: Vec::new(),
             accept_at: 0.0,
             again: Vec::new(),
@@ -226,13 +221,13 @@
             descriptors: config.sockets,
             sockets: Slab::new(),
             serial: 0,
-            listeners: 0,
-            most_listeners,
-            forwards: 0,
-            most_forwards,
+            downstreams: 0,
+            max_downstreams,
+            upstreams: 0,
+            max_upstreams,
             members: membership,
             dispatch,
-            group,
+            endpoints,
             watch: None,
             max_list: config.max_list,
             list_asked: false,
@@ -266,21 +261,21 @@
 
     fn is_over(&self) -> bool {
         // Once its successor takes clients, a process may end with its last connection.
-        let left = self.drain.is_leaving() && self.drain.has_successor() && self.listeners == 0;
-        (left || self.drain.may_end(self.clock.now()))
-            && self.dispatch.unanswered() == 0
+        let left = self.drain.is_shutting_down() && self.drain.has_successor() && self.downstreams == 0;
+        (left || self.drain.may_exit(self.clock.now()))
+            && self.dispatch.unanswered_jobs() == 0
             && self.upgrade.is_flushed()
             && self.sockets.iter().all(|(_, s)| !s.owes())
-            && (self.drain.is_past_end(self.clock.now()) || !self.has_unread_requests())
+            && (self.drain.is_past_deadline(self.clock.now()) || !self.has_unread_requests())
     }
 
     fn sleep(&mut self, events: &mut Events) -> io::Result<()> {
         let now = self.clock.now();
         let accept = (self.accept_at > 0.0).then_some(self.accept_at);
         // Once they are to be closed, connections fall idle one by one.
-        let closes = self.drain.closes_at().map(|at| at.max(now + CLOSE_EVERY));
+        let closes = self.drain.closes_idle_at().map(|at| at.max(now + CLOSE_EVERY));
         let member = self.members.as_ref().and_then(Membership::next_wake);
-        let end = self.drain.ends_at().filter(|end| now < *end);
+        let end = self.drain.shutdown_deadline().filter(|end| now < *end);
         let wakes = [self.dispatch.next_due(now), self.timers.next(), closes, accept, member, end];
         let next = wakes.into_iter().flatten().fold(now + LONGEST_SLEEP, f64::min);
         let left = self.members.as_ref().is_some_and(Membership::has_more);
@@ -318,12 +313,12 @@
         while let Some(key) = self.timers.due(now) {
             self.socket_due(key, now);
         }
-        self.dispatch.due(now);
+        self.dispatch.run_timers(now);
         self.mind_members(now);
-        if self.drain.is_closing(now) {
+        if self.drain.closes_idle(now) {
             self.close_idle_listeners(now);
         }
-        if self.drain.is_past_end(now) {
+        if self.drain.is_past_deadline(now) {
             self.refuse_half_read(now);
         }
         if now >= self.counters_at {
@@ -337,9 +332,9 @@
         // left then waits for the next turn.
         for _ in 0..4 {
             let now = self.clock.now();
-            let deeds = self.dispatch.decide(&self.group, now);
-            for deed in deeds {
-                self.act(deed, now);
+            let commands = self.dispatch.decide(&self.endpoints, now);
+            for command in commands {
+                self.act(command, now);
             }
             if !self.dispatch.has_events() {
                 break;
@@ -347,35 +342,35 @@
         }
     }
 
-    fn act(&mut self, deed: Deed, now: Millis) {
-        match deed {
-            Deed::Answer(client, answer) => self.answer(client, &answer, now),
-            Deed::Forward { job, leg, target } => self.attempt(job, leg, target, now),
-            Deed::Abandon(job, leg) => {
-                if let Some(key) = self.pool.attempts.remove(&(job, leg)) {
+    fn act(&mut self, command: Command, now: Millis) {
+        match command {
+            Command::Answer(client, answer) => self.answer(client, &answer, now),
+            Command::StartAttempt { job, attempt, worker } => self.attempt(job, attempt, worker, now),
+            Command::AbandonAttempt(job, attempt) => {
+                if let Some(key) = self.pool.attempts.remove(&(job, attempt)) {
                     self.abandon(key);
                 }
             }
-            Deed::Withdraw { target, trace } => {
-                let line = RequestLine { method: "DELETE".into(), target: format!("/jobs/{trace}") };
-                self.call(target, Task::Withdrawal, &line, now);
+            Command::CancelAttempt { worker, trace_id } => {
+                let line = RequestLine { method: "DELETE".into(), target: format!("/jobs/{trace_id}") };
+                self.call(worker, Task::Cancellation, &line, now);
             }
-            Deed::Probe(target) => {
-                let path = if self.site.report.is_empty() { "/alive" } else { "/metrics/load" };
+            Command::CheckHealth(worker) => {
+                let path = if self.site.report_fields.is_empty() { "/alive" } else { "/metrics/load" };
                 let line = RequestLine { method: "GET".into(), target: path.into() };
-                self.call(target, Task::Probe(target), &line, now);
+                self.call(worker, Task::HealthCheck(worker), &line, now);
             }
-            Deed::Over(id) => self.tell(|| Message::Over(id.to_string())),
-            Deed::Ended(id, how) => {
-                self.tell(|| Message::Ended(Word { id: id.to_string(), how: how.into() }));
+            Command::ReleaseJobId(id) => self.tell(|| Message::JobIdReleased(id.to_string())),
+            Command::PublishJobEnd(id, how) => {
+                self.tell(|| Message::JobEnded(JobEnd { trace_id: id.to_string(), status: how }));
             }
-            Deed::Watch => {
+            Command::WatchEndpoints => {
                 if self.watch.is_none() {
                     self.watch(now);
                 }
             }
-            Deed::Disconnect(target) => {
-                self.pool.take_all(target).into_iter().for_each(|key| self.close(key));
+            Command::CloseIdleConnections(worker) => {
+                self.pool.take_all(worker).into_iter().for_each(|key| self.close(key));
             }
         }
     }
@@ -385,10 +380,10 @@
     /// Whether somebody waits for something on it.
     fn owes(&self) -> bool {
         match &self.role {
-            Role::Listener(c, _) => c.owes(),
-            Role::Forward(c) => c.task() == Some(Task::Withdrawal),
-            Role::Manager(c) => !c.outbox.unsent().is_empty(),
-            Role::Discovery(_) | Role::Exchange(_) => false,
+            Role::Downstream(c, _) => c.owes(),
+            Role::Upstream(c) => c.task() == Some(Task::Cancellation),
+            Role::Admin(c) => !c.outbox.unsent().is_empty(),
+            Role::Discovery(_) | Role::StateExchange(_) => false,
         }
     }
 }
--- a/node/src/event_loop/managers.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -1,12 +1,12 @@
 //! Operators' connections: accepted apart from clients' and before them, one call on each.
 
-use super::{EventLoop, Key, Role, Socket, MANAGEMENT};
+use super::{ConnectionId, EventLoop, Role, Socket, MANAGEMENT};
+use crate::admin::{self, AdminError, AdminRequest};
 use crate::clock::Millis;
-use crate::figures::{Gauges, WaitingGauges};
-use crate::handover::Message;
+use crate::downstream;
 use crate::http;
-use crate::listener;
-use crate::management::{self, Call, No};
+use crate::metrics::{DeferralGauges, Gauges};
+use crate::upgrade_protocol::Message;
 use mio::net::TcpListener;
 use mio::{Interest, Registry, Token};
 use std::io::{self, ErrorKind};
@@ -27,25 +27,25 @@
 }
 
 impl EventLoop {
-    /// Whether readiness is that of an operator's call.
+    /// Whether state is that of an operator's call.
     pub(super) fn is_call(&self, token: Token) -> bool {
-        let manager = |s: &Socket| matches!(s.role, Role::Manager(_));
+        let manager = |s: &Socket| matches!(s.role, Role::Admin(_));
         token == MANAGEMENT || self.sockets.get(token.0).is_some_and(manager)
     }
 
     /// Takes operators' connections that wait.
     pub(super) fn accept_managers(&mut self) {
         let now = self.clock.now();
-        while let Some(listener) = &self.management {
+        while let Some(listener) = &self.admin_listener {
             match listener.accept() {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true); // a delay at worst
-                    if self.managers >= MOST {
+                    if self.admin_connections >= MOST {
                         self.close_oldest_manager();
                     }
-                    let new = listener::Connection::new(now);
+                    let new = downstream::Connection::new(now);
                     let until = new.deadline();
-                    match self.add(stream, Role::Manager(new), false, until) {
+                    match self.add(stream, Role::Admin(new), false, until) {
                         Ok(key) => self.drive(key),
                         Err(e) => log::warn!("a new connection cannot be polled: {e}"),
                     }
@@ -64,34 +64,36 @@
 
     /// Says whether there was one.
     fn close_oldest_manager(&mut self) -> bool {
-        let managers = self.sockets.iter().filter(|(_, s)| matches!(s.role, Role::Manager(_)));
+        let managers = self.sockets.iter().filter(|(_, s)| matches!(s.role, Role::Admin(_)));
         let oldest = managers.map(|(_, s)| s.key).min_by_key(|key| key.serial);
         oldest.map(|key| self.close(key)).is_some()
     }
 
     /// Takes the call that has come whole on a connection; there is one on each.
-    pub(super) fn calls(&mut self, key: Key, now: Millis) {
-        let Some(Socket { role: Role::Manager(c), .. }) = self.socket(key) else { return };
+    pub(super) fn calls(&mut self, key: ConnectionId, now: Millis) {
+        let Some(Socket { role: Role::Admin(c), .. }) = self.socket(key) else { return };
         let Some(next) = c.next() else { return };
         let status = |status| Some(http::response(status, &[], b"", false));
-        let answer = match next.map(|message| management::read(&message.line)) {
+        let answer = match next.map(|message| admin::read(&message.line)) {
             Err(fault) => status(fault.0),
-            Ok(Err(No::Unknown)) => status(404),
-            Ok(Err(No::Method(allow))) => Some(http::response(405, &[("Allow", allow.into())], b"", false)),
-            Ok(Ok(Call::Stats)) => None,
-            Ok(Ok(Call::Members)) => {
+            Ok(Err(AdminError::NotFound)) => status(404),
+            Ok(Err(AdminError::MethodNotAllowed(allow))) => {
+                Some(http::response(405, &[("Allow", allow.into())], b"", false))
+            }
+            Ok(Ok(AdminRequest::Stats)) => None,
+            Ok(Ok(AdminRequest::Members)) => {
                 let json = [("Content-Type", "application/json".to_string())];
                 let shown = self.members_json();
                 shown.map(|body| http::response(200, &json, body.as_bytes(), false)).or_else(|| status(404))
             }
-            Ok(Ok(Call::Healthcheck)) => {
+            Ok(Ok(AdminRequest::Healthcheck)) => {
                 let takes = self.upgrade.takes_clients && self.drain.is_healthy();
                 status(if takes { 200 } else { 503 })
             }
             Ok(Ok(call)) => {
                 let there = self.obey(&call, now);
                 if there {
-                    self.tell(|| Message::Called(call));
+                    self.tell(|| Message::AdminRequest(call));
                 }
                 status(if there { 200 } else { 404 })
             }
@@ -99,14 +101,14 @@
         self.called.push((key, answer));
     }
 
-    /// Answers the calls of this turn. Guards against: a yes to what the module has not heard yet, and figures from
+    /// Answers the calls of this turn. Guards against: a yes to what the module has not heard yet, and metrics from
     /// before it.
     pub(super) fn answer_calls(&mut self, now: Millis) {
         for (key, answer) in std::mem::take(&mut self.called) {
             let json = [("Content-Type", "application/json".to_string())];
             let stats = |this: &Self| http::response(200, &json, this.stats().as_bytes(), false);
             let answer = answer.unwrap_or_else(|| stats(self));
-            if let Some(Socket { role: Role::Manager(c), .. }) = self.socket(key) {
+            if let Some(Socket { role: Role::Admin(c), .. }) = self.socket(key) {
                 c.answer(&answer, false, now);
             }
             self.drive(key);
@@ -114,44 +116,44 @@
     }
 
     /// Does what a call asks; says whether what it names is there.
-    pub(super) fn obey(&mut self, call: &Call, now: Millis) -> bool {
+    pub(super) fn obey(&mut self, call: &AdminRequest, now: Millis) -> bool {
         match call {
-            Call::Drain => {
-                self.drain.call(now);
-                log::info!("drain by call: {} requests to finish", self.dispatch.unanswered());
+            AdminRequest::Drain => {
+                self.drain.start_by_operator(now);
+                log::info!("drain by call: {} requests to finish", self.dispatch.unanswered_jobs());
             }
-            Call::EndDrain => {
-                self.drain.undo();
+            AdminRequest::EndDrain => {
+                self.drain.cancel_by_operator();
                 log::info!("the drain by call is over");
             }
-            Call::TakeOut(name) => {
-                let Some(target) = self.group.take_out(name) else { return false };
-                self.dispatch.taken_out(target);
+            AdminRequest::DisableWorker(name) => {
+                let Some(worker) = self.endpoints.disable(name) else { return false };
+                self.dispatch.worker_disabled(worker);
                 log::info!("{name} is taken out");
             }
-            Call::TakeBack(name) => {
-                let Some(target) = self.group.take_back(name) else { return false };
-                self.dispatch.taken_back(target);
+            AdminRequest::EnableWorker(name) => {
+                let Some(worker) = self.endpoints.enable(name) else { return false };
+                self.dispatch.worker_enabled(worker);
                 log::info!("{name} is taken back");
             }
-            Call::Healthcheck | Call::Stats | Call::Members => {}
+            AdminRequest::Healthcheck | AdminRequest::Stats | AdminRequest::Members => {}
         }
         true
     }
 
     fn stats(&self) -> String {
-        let waiting = self.dispatch.waiting().count(self.clock.now()).map(|c| WaitingGauges {
+        let waiting = self.dispatch.deferred_jobs().count(self.clock.now()).map(|c| DeferralGauges {
             held: c.held,
             released: c.released,
             longest_wait_ms: c.longest_wait as u64,
         });
-        let avoided = self.group.listed().filter(|target| self.dispatch.avoids(*target)).count();
-        self.dispatch.figures.json(Gauges {
-            in_flight: self.dispatch.unanswered(),
-            workers_known: self.group.listed().count(),
+        let avoided = self.endpoints.listed_workers().filter(|worker| self.dispatch.avoids(*worker)).count();
+        self.dispatch.metrics.json(Gauges {
+            in_flight: self.dispatch.unanswered_jobs(),
+            workers_known: self.endpoints.listed_workers().count(),
             workers_excluded: avoided,
             members: self.members_gauges(),
-            over_share: self.dispatch.over_share(),
+            over_quota: self.dispatch.over_quota(),
             waiting,
         })
     }
--- a/node/src/event_loop/inherit.rs
+++ b/crates/node/src/event_loop/descriptor_passing.rs
@@ -1,7 +1,7 @@
 //! Descriptors that pass between two processes of one scheduler, and a new process's start with those of the one before.
 
 use crate::clock::{Clock, Millis};
-use crate::handover::{Link, Message, State};
+use crate::upgrade_protocol::{Link, Message, SchedulerState};
 use mio::net::UnixStream;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -53,7 +53,7 @@
     /// The clients' listener, this process's own or the one that it was handed.
     pub(super) listener: TcpListener,
     /// What the process before has told, and the way to it.
-    pub(super) before: Option<(State, StdUnixStream, Link)>,
+    pub(super) before: Option<(SchedulerState, StdUnixStream, Link)>,
 }
 
 /// Gets the clients' listener from the process that holds it, or from the system.
@@ -75,8 +75,8 @@
     Ok(Start { listener: socket.into(), before: None })
 }
 
-/// Waits for the listening socket and what the process before has to tell.
-fn inherit(stream: &StdUnixStream, clock: &Clock) -> io::Result<(TcpListener, State, Link)> {
+/// StartConditions for the listening socket and what the process before has to tell.
+fn inherit(stream: &StdUnixStream, clock: &Clock) -> io::Result<(TcpListener, SchedulerState, Link)> {
     let (mut link, mut passed, until) = (Link::default(), VecDeque::new(), clock.now() + PATIENCE);
     let mut bytes = vec![0; 64 * 1024];
     loop {
--- a/node/src/event_loop/listeners.rs
+++ b/crates/node/src/event_loop/downstreams.rs
@@ -1,17 +1,17 @@
-//! Connections that clients and targets open: accepted, kept within their budget, their requests taken and answered.
+//! Connections that clients and workers open: accepted, kept within their budget, their requests taken and answered.
 
-use super::{EventLoop, Key, Role, Socket};
+use super::{ConnectionId, EventLoop, Role, Socket};
 use crate::answer::Answer;
 use crate::clock::Millis;
-use crate::dispatch::NotTaken;
-use crate::handover::Message;
+use crate::dispatch::JobNotAccepted;
+use crate::downstream::{self, State};
 use crate::http;
-use crate::intake::{self, Ask};
-use crate::listener::{self, State};
-use crate::news::News;
+use crate::intake::{self, IncomingRequest};
+use crate::job_status::JobStatusUpdate;
+use crate::upgrade_protocol::Message;
 use std::io::ErrorKind;
 
-/// So many descriptors for connections from outside are left to targets' news, or a quarter where there are few.
+/// So many descriptors for connections from outside are left to workers' news, or a quarter where there are few.
 const FOR_NEWS: usize = 16;
 /// Between two lines of the log on a shortage of descriptors.
 const SHORT_EVERY: Millis = 10_000.0;
@@ -32,7 +32,7 @@
         // What is left after this turn's part is looked for in the next.
         self.accept_at = now;
         for _ in 0..ACCEPT_BUDGET {
-            if self.listeners >= self.most_listeners && !self.free_listener() {
+            if self.downstreams >= self.max_downstreams && !self.free_listener() {
                 self.accept_at = now + ACCEPT_REST;
                 return self.short(now);
             }
@@ -40,9 +40,9 @@
             match listener.accept() {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true); // a delay at worst
-                    let new = listener::Connection::new(now);
+                    let new = downstream::Connection::new(now);
                     let until = new.deadline();
-                    match self.add(stream, Role::Listener(new, None), false, until) {
+                    match self.add(stream, Role::Downstream(new, None), false, until) {
                         Ok(key) => self.drive(key),
                         Err(e) => log::warn!("a new connection cannot be polled: {e}"),
                     }
@@ -75,10 +75,10 @@
     }
 
     /// Takes all requests that have come whole on a connection, as far as answers allow.
-    pub(super) fn requests(&mut self, key: Key, now: Millis) {
+    pub(super) fn requests(&mut self, key: ConnectionId, now: Millis) {
         loop {
             let Some(socket) = self.socket(key) else { return };
-            let Role::Listener(c, _) = &mut socket.role else { return };
+            let Role::Downstream(c, _) = &mut socket.role else { return };
             let Some(next) = c.next() else { return };
             let message = match next {
                 Ok(message) => message,
@@ -87,62 +87,66 @@
                     continue;
                 }
             };
-            match intake::read(message, &self.site, self.dispatch.waiting().is_on()) {
-                Ask::Up => {
+            match intake::read(message, &self.site, self.dispatch.deferred_jobs().is_on()) {
+                IncomingRequest::Readiness => {
                     let up = !self.drain.is_on() && self.is_ready(now);
-                    let keep = self.drain.keeps(now, !up);
+                    let keep = self.drain.keeps_connections(now, !up);
                     let status = if up { 200 } else { 503 };
                     self.reply(key, now, keep, |keep| http::response(status, &[], b"", keep));
                 }
-                Ask::Job(job) if self.drain.refuses(now) => {
+                IncomingRequest::Job(job) if self.drain.rejects_jobs(now) => {
                     // No advice when to come back: another scheduler takes it at once.
-                    let refused = Answer::Refused { retry_after: 0.0 };
-                    self.dispatch.figures.ended(job.class, job.customer, refused.kind());
+                    let refused = Answer::Rejected { retry_after: 0.0 };
+                    self.dispatch.metrics.ended(job.class, job.customer, refused.kind());
                     self.reply(key, now, false, |keep| refused.bytes(keep));
                 }
-                Ask::Job(job) if self.is_full() => {
+                IncomingRequest::Job(job) if self.is_full() => {
                     self.short(now);
                     let set = &self.site.settings;
-                    let advice = f64::from(u8::from(set.retry_after)) * FULL_FOR;
+                    let advice = f64::from(u8::from(set.sends_retry_after)) * FULL_FOR;
                     let refused =
-                        Answer::Refused { retry_after: advice.min(set.max_retry_after as f64 / 1e3) };
-                    self.dispatch.figures.ended(job.class, job.customer, refused.kind());
+                        Answer::Rejected { retry_after: advice.min(set.max_retry_after as f64 / 1e3) };
+                    self.dispatch.metrics.ended(job.class, job.customer, refused.kind());
                     self.reply(key, now, false, |keep| refused.bytes(keep));
                 }
                 // Guards against: two jobs under one id at the two processes of an upgrade.
-                Ask::Job(job) if self.upgrade.foreign.contains(&job.trace) => {
+                IncomingRequest::Job(job) if self.upgrade.foreign.contains(&job.trace_id) => {
                     self.reply(key, now, false, |keep| http::response(409, &[], b"", keep));
                 }
-                Ask::Job(job) => {
+                IncomingRequest::Job(job) => {
                     self.confirm_list(now);
-                    match self.dispatch.arrived(key, *job, now) {
+                    match self.dispatch.job_arrived(key, *job, now) {
                         Ok(id) => {
-                            if let Some(trace) = self.dispatch.trace(id) {
-                                self.tell(|| Message::Open(trace.to_string()));
+                            if let Some(trace) = self.dispatch.trace_id(id) {
+                                self.tell(|| Message::JobStarted(trace.to_string()));
                             }
-                            if let Some(Socket { role: Role::Listener(_, job), .. }) = self.socket(key) {
+                            if let Some(Socket { role: Role::Downstream(_, job), .. }) = self.socket(key) {
                                 *job = Some(id);
                             }
                         }
                         Err(not) => self.not_taken(key, &not, now),
                     }
                 }
-                Ask::Wrong(status) => {
+                IncomingRequest::Invalid(status) => {
                     let allow = [("Allow", "POST".to_string())];
                     let headers: &[_] = if status == 405 { &allow } else { &[] };
                     self.reply(key, now, false, |keep| http::response(status, headers, b"", keep));
                 }
-                Ask::News(body) => {
-                    let news = News::read(&body, &self.site);
+                IncomingRequest::JobStatus(body) => {
+                    let news = JobStatusUpdate::read(&body, &self.site);
                     let status = if news.is_some() { 200 } else { 400 };
                     match news {
-                        Some(news) if self.dispatch.has(&news.trace) => self.dispatch.news(news, now),
+                        Some(news) if self.dispatch.has_job(&news.trace_id) => {
+                            self.dispatch.job_status(news, now)
+                        }
                         // Targets reach whichever process accepts: it may be a job of the other's.
-                        Some(_) => self.tell(|| Message::News(String::from_utf8_lossy(&body).into_owned())),
+                        Some(_) => {
+                            self.tell(|| Message::JobStatus(String::from_utf8_lossy(&body).into_owned()))
+                        }
                         None => {}
                     }
-                    if let Some(Socket { role: Role::Listener(c, _), .. }) = self.socket(key) {
-                        c.brings_news = true;
+                    if let Some(Socket { role: Role::Downstream(c, _), .. }) = self.socket(key) {
+                        c.brings_job_status = true;
                     }
                     self.reply(key, now, true, |keep| http::response(status, &[], b"", keep));
                 }
@@ -151,27 +155,35 @@
     }
 
     /// Answers the request at hand on a connection.
-    pub(super) fn reply(&mut self, key: Key, now: Millis, keep: bool, bytes: impl Fn(bool) -> Vec<u8>) {
-        let Some(Socket { role: Role::Listener(c, job), .. }) = self.socket(key) else { return };
+    pub(super) fn reply(
+        &mut self,
+        key: ConnectionId,
+        now: Millis,
+        keep: bool,
+        bytes: impl Fn(bool) -> Vec<u8>,
+    ) {
+        let Some(Socket { role: Role::Downstream(c, job), .. }) = self.socket(key) else { return };
         let keep = c.keeps(keep);
         c.answer(&bytes(keep), keep, now);
         *job = None;
     }
 
     /// Tells a client that its job is not taken.
-    pub(super) fn not_taken(&mut self, key: Key, not: &NotTaken, now: Millis) {
+    pub(super) fn not_taken(&mut self, key: ConnectionId, not: &JobNotAccepted, now: Millis) {
         match not {
-            NotTaken::Twice => self.reply(key, now, false, |keep| http::response(409, &[], b"", keep)),
-            NotTaken::Answered(answer) => {
-                let keep = self.drain.keeps(now, true);
+            JobNotAccepted::DuplicateId => {
+                self.reply(key, now, false, |keep| http::response(409, &[], b"", keep))
+            }
+            JobNotAccepted::Answered(answer) => {
+                let keep = self.drain.keeps_connections(now, true);
                 self.reply(key, now, keep, |keep| answer.bytes(keep));
             }
         }
     }
 
     /// Gives a client its final answer.
-    pub(super) fn answer(&mut self, client: Key, answer: &Answer, now: Millis) {
-        let keep = self.drain.keeps(now, !matches!(answer, Answer::Served(_)));
+    pub(super) fn answer(&mut self, client: ConnectionId, answer: &Answer, now: Millis) {
+        let keep = self.drain.keeps_connections(now, !matches!(answer, Answer::Served(_)));
         self.reply(client, now, keep, |keep| answer.bytes(keep));
         self.drive(client);
     }
@@ -179,33 +191,36 @@
     /// Closes a client's connection that is of little use: one that has had its last answer, else one that
     /// stands idle.
     pub(super) fn free_listener(&mut self) -> bool {
-        let over = |s: &Socket| matches!(&s.role, Role::Listener(c, _) if c.shut);
+        let over = |s: &Socket| matches!(&s.role, Role::Downstream(c, _) if c.shut);
         let over = self.sockets.iter().find(|(_, s)| over(s)).map(|(_, s)| s.key);
         over.or_else(|| self.idle_listener()).map(|key| self.close(key)).is_some()
     }
 
     /// Whether a further job would take a descriptor that news need. Guards against: clients that wait on all
-    /// descriptors for results that no target can bring any more.
+    /// descriptors for results that no worker can bring any more.
     fn is_full(&mut self) -> bool {
-        self.listeners > self.most_listeners - FOR_NEWS.min(self.most_listeners / 4) && !self.free_listener()
+        self.downstreams > self.max_downstreams - FOR_NEWS.min(self.max_downstreams / 4)
+            && !self.free_listener()
     }
 
     /// Something had to wait or fail for want of a descriptor.
     pub(super) fn short(&mut self, now: Millis) {
-        self.dispatch.figures.short += 1;
+        self.dispatch.metrics.short += 1;
         if now >= self.short_at {
             self.short_at = now + SHORT_EVERY;
-            let (listeners, forwards) = (self.listeners, self.forwards);
-            log::warn!("descriptors are short: {listeners} connections from outside, {forwards} to targets");
+            let (listeners, forwards) = (self.downstreams, self.upstreams);
+            log::warn!("descriptors are short: {listeners} connections from outside, {forwards} to workers");
         }
     }
 
-    /// A connection that never asked for anything, else the one that has been idle for longest; targets' news
+    /// A connection that never asked for anything, else the one that has been idle for longest; workers' news
     /// connections only where no other is.
-    fn idle_listener(&self) -> Option<Key> {
+    fn idle_listener(&self) -> Option<ConnectionId> {
         let now = self.clock.now();
         let idle = self.sockets.iter().filter_map(|(_, s)| match &s.role {
-            Role::Listener(c, _) if c.may_close(now) => Some((c.brings_news, c.has_served(), c.used, s.key)),
+            Role::Downstream(c, _) if c.may_close(now) => {
+                Some((c.brings_job_status, c.has_served(), c.used, s.key))
+            }
             _ => None,
         });
         let mut idle: Vec<_> = idle.collect();
@@ -215,8 +230,9 @@
 
     /// Closes clients' connections on which nothing is under way, near the end of a drain.
     pub(super) fn close_idle_listeners(&mut self, now: Millis) {
-        let idle = |s: &Socket| matches!(&s.role, Role::Listener(c, _) if c.may_close(now) && !c.brings_news);
-        let idle: Vec<Key> = self.sockets.iter().filter(|(_, s)| idle(s)).map(|(_, s)| s.key).collect();
+        let idle = |s: &Socket| matches!(&s.role, Role::Downstream(c, _) if c.may_close(now) && !c.brings_job_status);
+        let idle: Vec<ConnectionId> =
+            self.sockets.iter().filter(|(_, s)| idle(s)).map(|(_, s)| s.key).collect();
         for key in idle.into_iter().filter(|key| self.is_silent(*key)).collect::<Vec<_>>() {
             self.close(key);
         }
@@ -224,13 +240,14 @@
 
     /// Refuses requests of which only a part has come: there is no time left for the rest.
     pub(super) fn refuse_half_read(&mut self, now: Millis) {
-        let half_read = |s: &Socket| matches!(&s.role, Role::Listener(c, _) if c.is_partial());
-        let keys: Vec<Key> = self.sockets.iter().filter(|(_, s)| half_read(s)).map(|(_, s)| s.key).collect();
+        let half_read = |s: &Socket| matches!(&s.role, Role::Downstream(c, _) if c.is_partial());
+        let keys: Vec<ConnectionId> =
+            self.sockets.iter().filter(|(_, s)| half_read(s)).map(|(_, s)| s.key).collect();
         for key in keys {
-            if let Some(Socket { role: Role::Listener(c, _), .. }) = self.socket(key) {
+            if let Some(Socket { role: Role::Downstream(c, _), .. }) = self.socket(key) {
                 c.give_up_request();
             }
-            let refused = Answer::Refused { retry_after: 0.0 };
+            let refused = Answer::Rejected { retry_after: 0.0 };
             self.reply(key, now, false, |keep| refused.bytes(keep));
             self.drive(key);
         }
@@ -238,13 +255,13 @@
 
     /// Whether something has come on a connection that takes requests and was not read yet.
     pub(super) fn has_unread_requests(&self) -> bool {
-        let open = |s: &Socket| matches!(&s.role, Role::Listener(c, _) if c.state() == State::Open);
+        let open = |s: &Socket| matches!(&s.role, Role::Downstream(c, _) if c.state() == State::Open);
         self.sockets.iter().any(|(_, s)| open(s) && s.stream.peek(&mut [0]).is_ok_and(|n| n > 0))
     }
 
     /// Whether nothing has come on a connection that was not read yet. Guards against: closing on a request
     /// that lies in the socket, which is lost then.
-    fn is_silent(&self, key: Key) -> bool {
+    fn is_silent(&self, key: ConnectionId) -> bool {
         let socket = self.sockets.get(key.slot).filter(|s| s.key == key);
         socket.is_some_and(|s| s.stream.peek(&mut [0]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock))
     }
--- a/node/src/event_loop/members.rs
+++ b/crates/node/src/event_loop/membership.rs
@@ -1,11 +1,11 @@
 //! Membership on sockets: datagrams, exchanges of whole states, and the time.
 
-use super::{EventLoop, Key, Role, Socket, DATAGRAMS, EXCHANGES};
+use super::{ConnectionId, EventLoop, Role, Socket, DATAGRAMS, EXCHANGES};
 use crate::clock::{Clock, Millis};
-use crate::members::{self, Exchange, MembersGauges};
+use crate::membership::{self, MembersGauges, StateExchange};
 use mio::net::{TcpListener, TcpStream, UdpSocket};
 use mio::{Interest, Registry};
-use postusher_members::{Action, Members};
+use postusher_membership::{Action, Members};
 use postusher_setup::Members as Setup;
 use socket2::{Domain, Protocol, SockAddr, Socket as Raw, Type};
 use std::io::{self, ErrorKind};
@@ -100,10 +100,10 @@
 impl EventLoop {
     /// What this scheduler believes of others, where it is a member.
     pub(super) fn members_json(&self) -> Option<String> {
-        self.members.as_ref().map(|m| members::json(&m.machine.view()))
+        self.members.as_ref().map(|m| membership::json(&m.machine.view()))
     }
 
-    /// Figures of membership.
+    /// Metrics of membership.
     pub(super) fn members_gauges(&self) -> Option<MembersGauges> {
         self.members.as_ref().map(|m| MembersGauges::new(&m.machine.view(), m.machine.figures()))
     }
@@ -186,7 +186,7 @@
 
     /// Opens a connection from the member's own address and sends its state.
     fn exchange_with(&mut self, with: SocketAddr) -> io::Result<()> {
-        let until = self.clock.now() + members::PATIENCE;
+        let until = self.clock.now() + membership::PATIENCE;
         let Some(m) = self.members.as_mut().filter(|m| m.exchanges < MOST_EXCHANGES) else { return Ok(()) };
         let raw = Raw::new(Domain::for_address(with), Type::STREAM, Some(Protocol::TCP))?;
         raw.set_nonblocking(true)?;
@@ -199,22 +199,22 @@
             }
             _ => {}
         }
-        let mut new = Exchange::new(true);
+        let mut new = StateExchange::new(true);
         new.give(&m.machine.whole());
-        self.add(TcpStream::from_std(raw.into()), Role::Exchange(new), true, until)?;
+        self.add(TcpStream::from_std(raw.into()), Role::StateExchange(new), true, until)?;
         Ok(())
     }
 
     /// Takes connections of other members.
     pub(super) fn accept_exchanges(&mut self) {
-        let until = self.clock.now() + members::PATIENCE;
+        let until = self.clock.now() + membership::PATIENCE;
         while let Some(bound) = self.members.as_ref().and_then(|m| m.bound.as_ref()) {
             match bound.listener.accept() {
                 Ok((stream, _)) => {
                     if self.members.as_ref().is_none_or(|m| m.exchanges >= MOST_EXCHANGES) {
                         continue; // dropped: the other tries again
                     }
-                    match self.add(stream, Role::Exchange(Exchange::new(false)), false, until) {
+                    match self.add(stream, Role::StateExchange(StateExchange::new(false)), false, until) {
                         Ok(key) => self.drive(key),
                         Err(e) => log::warn!("members: a connection cannot be polled: {e}"),
                     }
@@ -226,20 +226,20 @@
     }
 
     /// Bytes of another's state have come.
-    pub(super) fn exchanged(&mut self, key: Key, bytes: &[u8], now: Millis) {
-        let Some(Socket { role: Role::Exchange(c), .. }) = self.socket(key) else { return };
+    pub(super) fn exchanged(&mut self, key: ConnectionId, bytes: &[u8], now: Millis) {
+        let Some(Socket { role: Role::StateExchange(c), .. }) = self.socket(key) else { return };
         let asked = c.asked;
         let whole = match c.receive(bytes) {
             Ok(Some(whole)) => whole,
             Ok(None) => return,
-            Err(members::TooLong) => return self.close(key),
+            Err(membership::TooLong) => return self.close(key),
         };
         let Some(m) = &mut self.members else { return self.close(key) };
         let mut out = Vec::new();
         m.machine.take_whole(&whole, now, &mut out);
         let mine = (!asked).then(|| m.machine.whole());
         match (mine, self.socket(key)) {
-            (Some(mine), Some(Socket { role: Role::Exchange(c), .. })) => c.give(&mine),
+            (Some(mine), Some(Socket { role: Role::StateExchange(c), .. })) => c.give(&mine),
             _ => self.close(key),
         }
         self.carry_out(out);
--- a/node/src/event_loop/signals.rs
+++ b/crates/node/src/event_loop/signals.rs
@@ -1,8 +1,8 @@
 //! What the process does at SIGTERM and SIGHUP, and the counters that it logs.
 
 use super::EventLoop;
-use crate::figures::Final;
 use crate::invariant;
+use crate::metrics::FinalStatus;
 use signal_hook::consts::SIGHUP;
 
 impl EventLoop {
@@ -16,16 +16,16 @@
     }
 
     pub(super) fn terminate(&mut self) {
-        if !self.drain.is_leaving() {
-            log::info!("SIGTERM: {} requests to finish", self.dispatch.unanswered());
+        if !self.drain.is_shutting_down() {
+            log::info!("SIGTERM: {} requests to finish", self.dispatch.unanswered_jobs());
         }
-        self.drain.begin(self.clock.now());
+        self.drain.start_shutdown(self.clock.now());
         if !self.drain.has_successor() {
             if self.members.as_ref().is_some_and(|m| m.taken.is_none()) {
                 self.leave_members();
             }
-            self.drain.ends_at().into_iter().for_each(|at| self.dispatch.ends_at(at));
-            self.dispatch.close_waiting();
+            self.drain.shutdown_deadline().into_iter().for_each(|at| self.dispatch.set_shutdown_deadline(at));
+            self.dispatch.close_deferral();
         }
     }
 
@@ -35,14 +35,14 @@
         let new = match self.reload.read() {
             Ok(new) => new,
             Err(e) => {
-                self.dispatch.figures.reloads_failed += 1;
+                self.dispatch.metrics.reloads_failed += 1;
                 return log::error!("SIGHUP: the configuration stays as it was: {e}");
             }
         };
-        self.dispatch.figures.reloads_ok += 1;
+        self.dispatch.metrics.reloads_ok += 1;
         self.descriptors = new.sockets;
         self.share();
-        new.waiting.into_iter().for_each(|limits| self.dispatch.set_waiting(limits));
+        new.waiting.into_iter().for_each(|limits| self.dispatch.set_deferral_limits(limits));
         let moved = new.discovery != self.discovery;
         log::info!("SIGHUP: discovery at {}{}", new.discovery, if moved { "" } else { ", as before" });
         if !new.restart.is_empty() {
@@ -54,9 +54,9 @@
     }
 
     pub(super) fn log_counters(&self, when: &str) {
-        let (f, open, broken) = (&self.dispatch.figures, self.sockets.len(), invariant::broken());
+        let (f, open, broken) = (&self.dispatch.metrics, self.sockets.len(), invariant::broken());
         let [served, refused, failed] =
-            [Final::Served, Final::Refused, Final::Failed].map(|how| f.total(how));
+            [FinalStatus::Served, FinalStatus::Rejected, FinalStatus::Failed].map(|how| f.total(how));
         let (taken, left, attempts, short) = (f.taken, f.left, f.attempts, f.short);
         log::info!(
             "{when}: taken={taken} served={served} refused={refused} failed={failed} left={left} \
--- a/node/src/event_loop/sockets.rs
+++ b/crates/node/src/event_loop/sockets.rs
@@ -1,13 +1,13 @@
 //! All connections: opened, read, written and closed, whoever is at the other end.
 
-use super::forwards::TAKEN_LIMIT;
-use super::{EventLoop, Key, Role, Socket};
+use super::upstreams::TAKEN_LIMIT;
+use super::{ConnectionId, EventLoop, Role, Socket};
 use crate::clock::Millis;
 use crate::discovery::Answer;
-use crate::forward::Task;
+use crate::downstream::State;
 use crate::http;
 use crate::invariant::{holds, Invariant};
-use crate::listener::State;
+use crate::upstream::Task;
 use mio::net::TcpStream;
 use mio::{Interest, Token};
 use std::io::{self, ErrorKind, Read, Write};
@@ -32,24 +32,24 @@
 }
 
 impl EventLoop {
-    /// Keeps a connection and has its readiness told.
+    /// Keeps a connection and has its state told.
     pub(super) fn add(
         &mut self,
         mut stream: TcpStream,
         role: Role,
         connecting: bool,
         deadline: Millis,
-    ) -> io::Result<Key> {
+    ) -> io::Result<ConnectionId> {
         let entry = self.sockets.vacant_entry();
         self.serial += 1;
-        let key = Key { slot: entry.key(), serial: self.serial };
+        let key = ConnectionId { slot: entry.key(), serial: self.serial };
         let interest = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(key.slot), interest)?;
         match role {
-            Role::Listener(..) => self.listeners += 1,
-            Role::Forward(_) => self.forwards += 1,
-            Role::Manager(_) => self.managers += 1,
-            Role::Exchange(_) => self.members.iter_mut().for_each(|m| m.exchanges += 1),
+            Role::Downstream(..) => self.downstreams += 1,
+            Role::Upstream(_) => self.upstreams += 1,
+            Role::Admin(_) => self.admin_connections += 1,
+            Role::StateExchange(_) => self.members.iter_mut().for_each(|m| m.exchanges += 1),
             Role::Discovery(_) => {}
         }
         entry.insert(Socket { stream, key, role, connecting, peer_closed: false, deadline });
@@ -58,12 +58,12 @@
     }
 
     /// A connection, if it still lives.
-    pub(super) fn socket(&mut self, key: Key) -> Option<&mut Socket> {
+    pub(super) fn socket(&mut self, key: ConnectionId) -> Option<&mut Socket> {
         self.sockets.get_mut(key.slot).filter(|s| s.key == key)
     }
 
     /// Has a connection looked at again at a time.
-    pub(super) fn set_deadline(&mut self, key: Key, deadline: Millis) {
+    pub(super) fn set_deadline(&mut self, key: ConnectionId, deadline: Millis) {
         if let Some(s) = self.socket(key) {
             s.deadline = deadline;
             if deadline.is_finite() {
@@ -73,21 +73,21 @@
     }
 
     /// Forgets a connection; the socket closes with it.
-    pub(super) fn close(&mut self, key: Key) {
+    pub(super) fn close(&mut self, key: ConnectionId) {
         if self.socket(key).is_none() {
             return;
         }
         let mut socket = self.sockets.remove(key.slot);
         let _ = self.poll.registry().deregister(&mut socket.stream);
         match socket.role {
-            Role::Listener(..) => self.listeners -= 1,
-            Role::Manager(_) => self.managers -= 1,
-            Role::Forward(c) => {
-                self.forwards -= 1;
-                self.pool.remove(c.target, key);
+            Role::Downstream(..) => self.downstreams -= 1,
+            Role::Admin(_) => self.admin_connections -= 1,
+            Role::Upstream(c) => {
+                self.upstreams -= 1;
+                self.pool.remove(c.worker, key);
             }
             Role::Discovery(_) if self.watch == Some(key) => self.watch = None,
-            Role::Exchange(_) => {
+            Role::StateExchange(_) => {
                 self.members.iter_mut().for_each(|m| m.exchanges = m.exchanges.saturating_sub(1))
             }
             _ => {}
@@ -95,8 +95,13 @@
     }
 
     /// Opens a connection, if there is a descriptor for it.
-    pub(super) fn open(&mut self, addr: SocketAddr, role: Role, deadline: Millis) -> io::Result<Key> {
-        let full = matches!(role, Role::Forward(_)) && self.forwards >= self.most_forwards;
+    pub(super) fn open(
+        &mut self,
+        addr: SocketAddr,
+        role: Role,
+        deadline: Millis,
+    ) -> io::Result<ConnectionId> {
+        let full = matches!(role, Role::Upstream(_)) && self.upstreams >= self.max_upstreams;
         if full && self.pool.any().map(|idle| self.close(idle)).is_none() {
             return Err(ErrorKind::QuotaExceeded.into());
         }
@@ -117,7 +122,7 @@
     }
 
     /// Whether a connect has come up; a failed one is dealt with.
-    fn connected(&mut self, key: Key) -> bool {
+    fn connected(&mut self, key: ConnectionId) -> bool {
         let now = self.clock.now();
         let Some(socket) = self.socket(key) else { return false };
         if let Ok(Some(_)) | Err(_) = socket.stream.take_error() {
@@ -132,7 +137,7 @@
                 return false;
             }
         }
-        if let Role::Forward(c) = &mut socket.role {
+        if let Role::Upstream(c) = &mut socket.role {
             c.connected();
             if let Some(Task::Attempt(..)) = c.task() {
                 self.set_deadline(key, now + TAKEN_LIMIT); // the connect limit is met
@@ -144,7 +149,7 @@
     }
 
     /// Reads and writes what a connection can, up to its part of a turn.
-    pub(super) fn drive(&mut self, key: Key) {
+    pub(super) fn drive(&mut self, key: ConnectionId) {
         self.flush(key);
         // A request may lie in the buffer for which an answer has now made room.
         self.requests(key, self.clock.now());
@@ -170,7 +175,7 @@
     }
 
     /// Has a listener's connection looked at when its time is up.
-    fn mind(&mut self, key: Key) {
+    fn mind(&mut self, key: ConnectionId) {
         let Some(Socket { role, deadline, .. }) = self.socket(key) else { return };
         let Some(until) = role.outside().map(|c| c.deadline()).filter(|until| until != deadline) else {
             return;
@@ -179,7 +184,7 @@
     }
 
     /// Reads what there is, up to a connection's part of a turn.
-    fn read(&mut self, key: Key) -> ReadEnd {
+    fn read(&mut self, key: ConnectionId) -> ReadEnd {
         let mut scratch = std::mem::take(&mut self.scratch);
         if !holds(Invariant::RoomToRead, !scratch.is_empty()) {
             self.again.push(key);
@@ -212,28 +217,28 @@
     }
 
     /// Hands on what was read.
-    fn received(&mut self, key: Key, bytes: &[u8]) {
+    fn received(&mut self, key: ConnectionId, bytes: &[u8]) {
         let now = self.clock.now();
         log::trace!("{key:?} brought {:?}", String::from_utf8_lossy(&bytes[..bytes.len().min(LOGGED)]));
         let Some(socket) = self.socket(key) else { return };
         match &mut socket.role {
-            Role::Listener(c, _) => {
+            Role::Downstream(c, _) => {
                 c.receive(bytes, now);
                 self.requests(key, now);
             }
-            Role::Manager(c) => {
+            Role::Admin(c) => {
                 c.receive(bytes, now);
                 self.calls(key, now);
             }
-            Role::Forward(c) => {
+            Role::Upstream(c) => {
                 let ended = c.receive(bytes);
-                let target = c.target;
+                let worker = c.worker;
                 if let Some((task, end)) = ended {
-                    self.task_ended(task, end, target, now);
+                    self.task_ended(task, end, worker, now);
                 }
                 self.rest(key);
             }
-            Role::Exchange(_) => self.exchanged(key, bytes, now),
+            Role::StateExchange(_) => self.exchanged(key, bytes, now),
             Role::Discovery(c) => match c.receive(bytes) {
                 Some(answer) => self.discovered(key, answer, now),
                 None => self.list_comes_in(key, now),
@@ -242,7 +247,7 @@
     }
 
     /// Writes what waits to be written.
-    pub(super) fn flush(&mut self, key: Key) {
+    pub(super) fn flush(&mut self, key: ConnectionId) {
         let now = self.clock.now();
         while let Some(socket) = self.socket(key).filter(|s| !s.connecting) {
             let outbox = socket.role.outbox();
@@ -254,9 +259,9 @@
                     outbox.sent(n);
                     let whole = outbox.unsent().is_empty();
                     match &mut socket.role {
-                        Role::Listener(c, _) | Role::Manager(c) => c.used = now,
-                        Role::Forward(c) if whole && matches!(c.task(), Some(Task::Attempt(..))) => {
-                            self.dispatch.figures.attempts += 1;
+                        Role::Downstream(c, _) | Role::Admin(c) => c.used = now,
+                        Role::Upstream(c) if whole && matches!(c.task(), Some(Task::Attempt(..))) => {
+                            self.dispatch.metrics.attempts += 1;
                         }
                         _ => {}
                     }
@@ -276,23 +281,23 @@
     }
 
     /// A connection has ended, failed or run out of time.
-    fn broken(&mut self, key: Key) {
+    fn broken(&mut self, key: ConnectionId) {
         let now = self.clock.now();
         let Some(socket) = self.socket(key) else { return };
         match &mut socket.role {
-            Role::Listener(_, job) => {
+            Role::Downstream(_, job) => {
                 let job = job.take();
                 self.close(key);
                 if let Some(job) = job {
-                    self.dispatch.client_gone(job, now);
+                    self.dispatch.client_disconnected(job, now);
                 }
             }
-            Role::Manager(_) | Role::Exchange(_) => self.close(key),
-            Role::Forward(c) => {
-                let (ended, target) = (c.broken(), c.target);
+            Role::Admin(_) | Role::StateExchange(_) => self.close(key),
+            Role::Upstream(c) => {
+                let (ended, worker) = (c.broken(), c.worker);
                 self.close(key);
                 if let Some((task, end)) = ended {
-                    self.task_ended(task, end, target, now);
+                    self.task_ended(task, end, worker, now);
                 }
             }
             Role::Discovery(c) => {
@@ -303,24 +308,24 @@
     }
 
     /// The time has come to look at a connection.
-    pub(super) fn socket_due(&mut self, key: Key, now: Millis) {
+    pub(super) fn socket_due(&mut self, key: ConnectionId, now: Millis) {
         let Some(socket) = self.socket(key).filter(|s| s.deadline <= now) else { return };
         socket.deadline = f64::INFINITY;
         match &mut socket.role {
-            Role::Listener(c, _) | Role::Manager(c) if c.deadline() > now => self.mind(key),
-            Role::Listener(c, _) if c.is_partial() => {
+            Role::Downstream(c, _) | Role::Admin(c) if c.deadline() > now => self.mind(key),
+            Role::Downstream(c, _) if c.is_partial() => {
                 let fault = c.give_up_request();
                 self.reply(key, now, false, |keep| http::response(fault.0, &[], b"", keep));
                 self.drive(key);
             }
-            Role::Listener(..) | Role::Manager(_) | Role::Exchange(_) => self.broken(key),
-            Role::Forward(c) => match c.task() {
-                Some(Task::Probe(worker)) if c.is_up() => {
+            Role::Downstream(..) | Role::Admin(_) | Role::StateExchange(_) => self.broken(key),
+            Role::Upstream(c) => match c.task() {
+                Some(Task::HealthCheck(worker)) if c.is_up() => {
                     self.close(key);
-                    self.dispatch.probed(worker, None);
+                    self.dispatch.health_check_ended(worker, None);
                 }
-                None | Some(Task::Withdrawal) => self.close(key),
-                // It did not come up in time, or its target did not say that it has the job.
+                None | Some(Task::Cancellation) => self.close(key),
+                // It did not come up in time, or its worker did not say that it has the job.
                 Some(_) => {
                     c.silent();
                     self.broken(key);
--- a/node/src/event_loop/upgrade.rs
+++ b/crates/node/src/event_loop/upgrade.rs
@@ -1,17 +1,19 @@
 //! The other process of an upgrade: found, heard and told; and the clients' address that passes from one to the other.
 
-use super::inherit::{receive_along, send_along};
-use super::{shares, EventLoop, Key, Role, Socket, DOOR, LISTENER, PEER};
+use super::descriptor_passing::{receive_along, send_along};
+use super::{shares, ConnectionId, EventLoop, Role, Socket, DOOR, LISTENER, PEER};
+use crate::admin::AdminRequest;
 use crate::clock::Millis;
-use crate::handover::{Learned, Link, Message, Moved, MovedJob, State, Word};
+use crate::downstream;
 use crate::http::{self, Decoder};
-use crate::intake::{self, Ask};
-use crate::listener;
-use crate::management::Call;
-use crate::news::News;
+use crate::intake::{self, IncomingRequest};
+use crate::job_status::JobStatusUpdate;
+use crate::upgrade_protocol::{
+    JobEnd, LearnedSnapshot, Link, Message, MigratedConnection, MigratedJob, SchedulerState,
+};
 use mio::net::{TcpStream, UnixListener, UnixStream};
 use mio::Interest;
-use postusher_waiting::End;
+use postusher_deferred_jobs::JobEndStatus;
 use std::collections::{HashSet, VecDeque};
 use std::io::{self, ErrorKind, Write};
 use std::os::fd::{AsFd, OwnedFd};
@@ -67,28 +69,28 @@
 
 impl EventLoop {
     /// Goes on where the process before is, if there is one: it serves until this one has discovery's list.
-    pub(super) fn follow(&mut self, start: Option<(State, StdUnixStream, Link)>) -> io::Result<()> {
+    pub(super) fn follow(&mut self, start: Option<(SchedulerState, StdUnixStream, Link)>) -> io::Result<()> {
         let Some((state, stream, link)) = start else { return self.take_clients() };
         stream.set_nonblocking(true)?;
         log::info!("an older process serves until this one is ready");
-        self.upgrade.same_settings = state.settings == Some(self.upgrade.digest);
-        for name in state.taken_out {
-            self.heard(Message::Called(Call::TakeOut(name)));
+        self.upgrade.same_settings = state.settings_digest == Some(self.upgrade.digest);
+        for name in state.disabled_workers {
+            self.heard(Message::AdminRequest(AdminRequest::DisableWorker(name)));
         }
-        if state.drained {
-            self.drain.inherit(self.clock.now());
+        if state.draining {
+            self.drain.start_inherited(self.clock.now());
         }
-        state.open.iter().for_each(|id| self.dispatch.opened_elsewhere(id));
-        self.upgrade.foreign.extend(state.open);
+        state.open_jobs.iter().for_each(|id| self.dispatch.job_started_elsewhere(id));
+        self.upgrade.foreign.extend(state.open_jobs);
         let now = self.clock.now();
-        for Word { id, how } in state.ended {
-            self.dispatch.opened_elsewhere(&id);
-            self.dispatch.ended_elsewhere(&id, how.into(), now);
+        for JobEnd { trace_id, status } in state.ended_jobs {
+            self.dispatch.job_started_elsewhere(&trace_id);
+            self.dispatch.job_ended_elsewhere(&trace_id, status, now);
         }
         self.meet(UnixStream::from_std(stream), link)?;
         // The list known may be old, and a call for changes may wait for long.
-        self.group.moved();
-        self.dispatch.list_moved();
+        self.endpoints.discovery_moved();
+        self.dispatch.discovery_moved();
         Ok(())
     }
 
@@ -117,12 +119,12 @@
 
     fn hand_over(&mut self, stream: UnixStream) -> io::Result<()> {
         let mut link = Link::default();
-        link.tell(&Message::State(State {
-            taken_out: self.group.names_out().map(String::from).collect(),
-            drained: self.drain.is_called(),
-            open: self.dispatch.open_ids().map(String::from).collect(),
-            ended: self.dispatch.waiting().remembered(self.clock.now()),
-            settings: Some(self.upgrade.digest),
+        link.send(&Message::State(SchedulerState {
+            disabled_workers: self.endpoints.disabled_names().map(String::from).collect(),
+            draining: self.drain.is_operator_drain(),
+            open_jobs: self.dispatch.open_trace_ids().map(String::from).collect(),
+            ended_jobs: self.dispatch.deferred_jobs().remembered(self.clock.now()),
+            settings_digest: Some(self.upgrade.digest),
         }));
         let Some(listener) = &self.listener else { return Err(ErrorKind::NotConnected.into()) };
         link.outbox.sent(send_along(&stream, link.outbox.unsent(), listener.as_fd())?);
@@ -152,7 +154,7 @@
     /// The list has come from discovery: nothing is missing to take clients any more.
     pub(super) fn ready_for_clients(&mut self) {
         // Guards against: an upgrade that is called off, in which clients go to a process that sends them away.
-        if self.upgrade.takes_clients || self.drain.has_successor() || self.drain.is_leaving() {
+        if self.upgrade.takes_clients || self.drain.has_successor() || self.drain.is_shutting_down() {
             return;
         }
         match self.take_clients() {
@@ -175,16 +177,16 @@
         }
         self.accept_at = 0.0;
         self.upgrade.door = None;
-        self.drain.succeeded(true);
-        let name = |id| self.group.get(id).map(|t| t.name.to_string());
-        let learned = Learned::from(self.dispatch.memory(), name);
+        self.drain.set_successor(true);
+        let name = |id| self.endpoints.get(id).map(|t| t.name.to_string());
+        let learned = LearnedSnapshot::new(self.dispatch.learned_state(), name);
         self.tell(|| Message::Learned(learned));
     }
 
     /// Tells the other process, if there is one.
     pub(super) fn tell(&mut self, message: impl FnOnce() -> Message) {
         if let Some(peer) = &mut self.upgrade.peer {
-            peer.link.tell(&message());
+            peer.link.send(&message());
             self.flush_peer();
         }
     }
@@ -227,35 +229,39 @@
         let now = self.clock.now();
         match message {
             Message::Ready => self.give_up_clients(),
-            Message::Called(Call::TakeOut(name)) => {
+            Message::AdminRequest(AdminRequest::DisableWorker(name)) => {
                 // The other process may know of it by a list that has not come here yet.
-                let target = self.group.hold(&name);
-                self.dispatch.taken_out(target);
+                let worker = self.endpoints.disable_unlisted(&name);
+                self.dispatch.worker_disabled(worker);
             }
             // Guards against: a call to the old process by which the new one never gets its yes.
-            Message::Called(Call::Drain) => self.drain.inherit(now),
-            Message::Called(call) => drop(self.obey(&call, now)),
-            Message::News(body) => match News::read(body.as_bytes(), &self.site) {
+            Message::AdminRequest(AdminRequest::Drain) => self.drain.start_inherited(now),
+            Message::AdminRequest(call) => drop(self.obey(&call, now)),
+            Message::JobStatus(body) => match JobStatusUpdate::read(body.as_bytes(), &self.site) {
                 // It has crossed with the job's move.
-                Some(news) if self.upgrade.moved.contains(&news.trace) => self.tell(|| Message::News(body)),
-                Some(news) => self.dispatch.news(news, now),
+                Some(news) if self.upgrade.moved.contains(&news.trace_id) => {
+                    self.tell(|| Message::JobStatus(body))
+                }
+                Some(news) => self.dispatch.job_status(news, now),
                 None => {}
             },
-            Message::Moved(moved) => self.adopt(moved, now),
+            Message::ConnectionMigrated(moved) => self.adopt(moved, now),
             // Guards against: running times, limits and shares by numbers that mean other classes, kinds and customers here.
             Message::Learned(_) if !self.upgrade.same_settings => {
                 log::info!("the older process has other settings: nothing that it learned is taken over");
             }
             Message::Learned(learned) => {
-                let memory = learned.memory(|name| self.group.id(name));
+                let memory = learned.into_state(|name| self.endpoints.id(name));
                 self.dispatch.learned(memory);
             }
-            Message::Open(id) => {
-                self.dispatch.opened_elsewhere(&id);
+            Message::JobStarted(id) => {
+                self.dispatch.job_started_elsewhere(&id);
                 self.upgrade.foreign.insert(id);
             }
-            Message::Ended(Word { id, how }) => self.dispatch.ended_elsewhere(&id, how.into(), now),
-            Message::Over(id) => drop(self.upgrade.foreign.remove(&id)),
+            Message::JobEnded(JobEnd { trace_id, status }) => {
+                self.dispatch.job_ended_elsewhere(&trace_id, status, now)
+            }
+            Message::JobIdReleased(id) => drop(self.upgrade.foreign.remove(&id)),
             Message::State(_) => log::warn!("upgrade: a state that nobody asked for"),
         }
     }
@@ -263,12 +269,14 @@
     /// On the way out, clients go to the process that follows with their connections and the jobs that they wait for.
     /// Guards against: long jobs that end with this process, and requests that cross with the end of a connection.
     pub(super) fn move_clients(&mut self) {
-        if !self.drain.is_leaving() || !self.drain.has_successor() {
+        if !self.drain.is_shutting_down() || !self.drain.has_successor() {
             return;
         }
         let now = self.clock.now();
-        let may = |s: &Socket| matches!(&s.role, Role::Listener(c, _) if c.may_move() && !c.brings_news);
-        let keys: Vec<Key> = self.sockets.iter().filter(|(_, s)| may(s)).map(|(_, s)| s.key).collect();
+        let may =
+            |s: &Socket| matches!(&s.role, Role::Downstream(c, _) if c.may_move() && !c.brings_job_status);
+        let keys: Vec<ConnectionId> =
+            self.sockets.iter().filter(|(_, s)| may(s)).map(|(_, s)| s.key).collect();
         for key in keys {
             // With nothing waiting, a message and its descriptor go out whole or not at all, but for its last part.
             let free = self.upgrade.peer.as_ref().is_some_and(|p| p.link.outbox.unsent().is_empty());
@@ -279,19 +287,19 @@
     }
 
     /// Says whether another may follow.
-    fn move_client(&mut self, key: Key, now: Millis) -> bool {
-        let Some(Socket { role: Role::Listener(c, id), .. }) = self.socket(key) else { return true };
+    fn move_client(&mut self, key: ConnectionId, now: Millis) -> bool {
+        let Some(Socket { role: Role::Downstream(c, id), .. }) = self.socket(key) else { return true };
         let (age, has_served, last, id) = (c.age(now), c.has_served(), c.is_last(), *id);
-        let trace = id.and_then(|id| self.dispatch.trace(id));
-        let job = match id.map(|id| self.dispatch.moving(id, now)) {
+        let trace = id.and_then(|id| self.dispatch.trace_id(id));
+        let job = match id.map(|id| self.dispatch.migrated_job(id, now)) {
             Some(None) => return true, // not yet
-            Some(Some(job)) => Some(MovedJob { last, ..job }),
+            Some(Some(job)) => Some(MigratedJob { closes_connection: last, ..job }),
             None => None,
         };
         let (Some(socket), Some(peer)) = (self.sockets.get(key.slot), &mut self.upgrade.peer) else {
             return false;
         };
-        peer.link.tell(&Message::Moved(Moved { age, has_served, job }));
+        peer.link.send(&Message::ConnectionMigrated(MigratedConnection { age, has_served, job }));
         match send_along(&peer.stream, peer.link.outbox.unsent(), socket.stream.as_fd()) {
             Ok(sent) => peer.link.outbox.sent(sent),
             Err(_) => {
@@ -299,21 +307,21 @@
                 return false;
             }
         }
-        id.into_iter().for_each(|id| self.dispatch.release(id));
+        id.into_iter().for_each(|id| self.dispatch.release_migrated(id));
         self.upgrade.moved.extend(trace.map(|trace| trace.to_string()));
         self.close(key); // here; the connection lives on
         true
     }
 
     /// A client comes over from the process before.
-    fn adopt(&mut self, moved: Moved, now: Millis) {
+    fn adopt(&mut self, moved: MigratedConnection, now: Millis) {
         let passed = self.upgrade.peer.as_mut().and_then(|peer| peer.passed.pop_front());
         let stream = passed.map(std::net::TcpStream::from).filter(|s| s.set_nonblocking(true).is_ok());
         let Some(stream) = stream else { return log::warn!("upgrade: a client came without its connection") };
-        let (job, last) = (moved.job, |job: &MovedJob| job.last);
-        let c = listener::Connection::moved(now, moved.age, moved.has_served, job.as_ref().map(last));
+        let (job, last) = (moved.job, |job: &MigratedJob| job.closes_connection);
+        let c = downstream::Connection::moved(now, moved.age, moved.has_served, job.as_ref().map(last));
         let until = c.deadline();
-        let key = match self.add(TcpStream::from_std(stream), Role::Listener(c, None), false, until) {
+        let key = match self.add(TcpStream::from_std(stream), Role::Downstream(c, None), false, until) {
             Ok(key) => key,
             Err(e) => return log::warn!("a client that came over cannot be polled: {e}"),
         };
@@ -321,16 +329,17 @@
         let mut decoder = Decoder::new();
         decoder.feed(&moved.request);
         let ask = decoder.next().ok().flatten().map(|message| intake::read(message, &self.site, false));
-        let Some(Ask::Job(job)) = ask else {
+        let Some(IncomingRequest::Job(job)) = ask else {
             log::warn!("upgrade: a job that came over cannot be read");
             self.reply(key, now, false, |keep| http::response(502, &[], b"", keep));
             return self.drive(key);
         };
-        self.upgrade.foreign.remove(&job.trace);
-        let legs = moved.legs.into_iter().map(|leg| (self.group.id(&leg.target), leg)).collect();
-        match self.dispatch.adopt(key, *job, legs, moved.held, now) {
+        self.upgrade.foreign.remove(&job.trace_id);
+        let attempts =
+            moved.attempts.into_iter().map(|attempt| (self.endpoints.id(&attempt.worker), attempt)).collect();
+        match self.dispatch.adopt_job(key, *job, attempts, moved.deferral, now) {
             Ok(id) => {
-                if let Some(Socket { role: Role::Listener(_, job), .. }) = self.socket(key) {
+                if let Some(Socket { role: Role::Downstream(_, job), .. }) = self.socket(key) {
                     *job = Some(id);
                 }
             }
@@ -346,14 +355,14 @@
         let now = self.clock.now();
         for id in std::mem::take(&mut self.upgrade.foreign) {
             // It has died with that process: whoever waits for it here would wait in vain.
-            self.dispatch.ended_elsewhere(&id, End::Left, now);
+            self.dispatch.job_ended_elsewhere(&id, JobEndStatus::Disconnected, now);
         }
-        if self.drain.is_leaving() {
-            self.dispatch.close_waiting();
+        if self.drain.is_shutting_down() {
+            self.dispatch.close_deferral();
         }
         self.upgrade.moved.clear();
-        self.drain.succeeded(false);
-        self.drain.ends_at().into_iter().for_each(|at| self.dispatch.ends_at(at));
+        self.drain.set_successor(false);
+        self.drain.shutdown_deadline().into_iter().for_each(|at| self.dispatch.set_shutdown_deadline(at));
         self.share();
         log::info!("the other process has gone; this one is alone");
         if !self.upgrade.takes_clients {
@@ -366,9 +375,9 @@
     /// Two processes have one scheduler's descriptors: half of them each.
     pub(super) fn share(&mut self) {
         let parts = 1 + usize::from(self.upgrade.peer.is_some());
-        (self.most_listeners, self.most_forwards) =
-            shares(self.descriptors / parts, self.management.is_some(), self.members.is_some());
-        while self.listeners > self.most_listeners && self.free_listener() {}
-        while self.forwards > self.most_forwards && self.pool.any().map(|idle| self.close(idle)).is_some() {}
+        (self.max_downstreams, self.max_upstreams) =
+            shares(self.descriptors / parts, self.admin_listener.is_some(), self.members.is_some());
+        while self.downstreams > self.max_downstreams && self.free_listener() {}
+        while self.upstreams > self.max_upstreams && self.pool.any().map(|idle| self.close(idle)).is_some() {}
     }
 }
--- a/node/src/invariant.rs
+++ b/crates/node/src/invariant.rs
@@ -7,7 +7,7 @@
 pub enum Invariant {
     /// The module answers every request by its deadline; else the scheduler fails it.
     AnsweredInTime,
-    /// An attempt goes only to a target of the list.
+    /// An attempt goes only to a worker of the list.
     TargetListed,
     /// An attempt ends once.
     SettledOnce,
--- a/node/src/main.rs
+++ b/crates/node/src/main.rs
@@ -2,33 +2,33 @@
 //! brings back what becomes of it.
 #![forbid(unsafe_code)]
 
+mod admin;
 mod answer;
 mod clock;
 mod config;
+mod connection_id;
+mod deferral;
 mod direct;
 mod discovery;
 mod dispatch;
+mod downstream;
 mod drain;
+mod endpoint_list;
 mod event_loop;
-mod figures;
-mod forward;
 #[cfg(test)]
 mod golden_tests;
-mod handover;
 mod http;
 mod import;
 mod intake;
 mod invariant;
-mod key;
-mod listener;
-mod management;
-mod members;
+mod job_status;
+mod membership;
+mod metrics;
 #[cfg(test)]
 mod model;
-mod news;
 mod reload;
-mod target_group;
-mod waiting;
+mod upgrade_protocol;
+mod upstream;
 
 use clap::{Args, Parser, Subcommand};
 use clock::Clock;
@@ -115,8 +115,8 @@
         }
         Command::CheckConfig(arg) => {
             let config = Config::load(&arg.config, None)?;
-            let (classes, targets) = (config.site.classes.len(), config.known.entries.len());
-            println!("{}: good; {classes} classes, {targets} targets known", arg.config.display());
+            let (classes, workers) = (config.site.classes.len(), config.known.entries.len());
+            println!("{}: good; {classes} classes, {workers} workers known", arg.config.display());
         }
         Command::Import(from) => return Ok(import::run(from)),
         Command::Version => {
--- a/node/src/model/connections.rs
+++ b/crates/node/src/model/connections.rs
@@ -1,10 +1,10 @@
 //! Connections of clients and to workers: whatever comes in whatever pieces, each keeps its turns.
 
 use super::fixed;
-use crate::forward::{self, End, Task};
+use crate::downstream::{self, State as Side};
 use crate::http::{self, Decoder, StatusLine};
-use crate::listener::{self, State as Side};
-use postusher::{JobId, WorkerId};
+use crate::upstream::{self, End, Task};
+use postusher_decision::{AttemptId, JobId, WorkerId};
 use proptest::prelude::*;
 
 proptest! {
@@ -16,7 +16,7 @@
     fn a_listener_keeps_its_turns(steps in prop::collection::vec((0u8..5, 1usize..90, any::<bool>()), 1..120)) {
         let one = |n: usize| format!("POST /render/{n} HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc");
         let all: String = (0..200).map(one).collect();
-        let (mut c, mut fed, mut taken, mut out) = (listener::Connection::new(0.0), 0, 0, Vec::new());
+        let (mut c, mut fed, mut taken, mut out) = (downstream::Connection::new(0.0), 0, 0, Vec::new());
         let (mut expected, mut side, mut whole) = (String::new(), Side::Open, 0);
         for (what, n, keep) in steps {
             match what {
@@ -44,7 +44,7 @@
                 // Another process goes on with it.
                 3 if c.may_move() => {
                     let job = (c.state() == Side::Busy).then(|| c.is_last());
-                    c = listener::Connection::moved(3.0, c.age(3.0), c.has_served(), job);
+                    c = downstream::Connection::moved(3.0, c.age(3.0), c.has_served(), job);
                 }
                 _ => {
                     let n = n.min(c.outbox.unsent().len());
@@ -63,8 +63,8 @@
     /// only when it is up and has none, and closed for good.
     #[test]
     fn a_forward_ends_as_its_bytes_tell(steps in prop::collection::vec((0u8..6, 1usize..40, any::<bool>()), 1..80)) {
-        let task = Task::Attempt(JobId(1), 0);
-        let (mut c, mut up, mut open) = (forward::Connection::new(WorkerId(1)), false, true);
+        let task = Task::Attempt(JobId(1), AttemptId(0));
+        let (mut c, mut up, mut open) = (upstream::Connection::new(WorkerId(1)), false, true);
         let (mut busy, mut left, mut begun, mut come, mut kept) = (false, 0usize, false, 0usize, false);
         for (what, n, keep) in steps {
             let whole = http::response(202, &[], b"", keep);
@@ -120,7 +120,7 @@
     /// Whatever comes is read or refused with a status that HTTP has for it, and never more than a body's limit.
     #[test]
     fn any_input_is_read_or_refused(parts in prop::collection::vec("[ -~\r\n]{0,60}|HTTP/1.1 200 OK\r\n|POST / HTTP/1.1\r\n|Content-Length: [0-9]{1,6}\r\n|Transfer-Encoding: chunked\r\n|\r\n", 0..12)) {
-        let (mut answers, mut requests) = (Decoder::<StatusLine>::new(), listener::Connection::new(0.0));
+        let (mut answers, mut requests) = (Decoder::<StatusLine>::new(), downstream::Connection::new(0.0));
         for part in parts {
             answers.feed(part.as_bytes());
             requests.receive(part.as_bytes(), 0.0);
--- a/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,8 +1,8 @@
 //! A configuration read again: what a running scheduler takes over of it, and what it cannot.
 
 use crate::config::{Config, Setup};
-use postusher_settings::Site;
-use postusher_waiting::Limits;
+use postusher_deferred_jobs::Limits;
+use postusher_settings::SiteSettings;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -13,7 +13,7 @@
     name: String,
     listen: SocketAddr,
     mgmt: Option<SocketAddr>,
-    site: Site,
+    site: SiteSettings,
     setup: Setup,
 }
 
--- a/setup/src/lib.rs
+++ b/crates/setup/src/lib.rs
@@ -69,7 +69,7 @@
 
 impl Default for Waiting {
     fn default() -> Self {
-        let l = postusher_waiting::Limits::default();
+        let l = postusher_deferred_jobs::Limits::default();
         Waiting {
             jobs: l.jobs,
             bytes: l.bytes,
@@ -87,8 +87,8 @@
 
 impl Waiting {
     /// The bounds of a room, with classes by their numbers.
-    pub fn limits<'a>(&self, classes: impl Iterator<Item = &'a str>) -> postusher_waiting::Limits {
-        postusher_waiting::Limits {
+    pub fn limits<'a>(&self, classes: impl Iterator<Item = &'a str>) -> postusher_deferred_jobs::Limits {
+        postusher_deferred_jobs::Limits {
             jobs: self.jobs,
             bytes: self.bytes,
             per_client: self.per_client,
@@ -99,7 +99,7 @@
             ageing: self.ageing,
             reserve: self.reserve,
             weights: classes.map(|name| self.weights.get(name).copied().unwrap_or(1.0)).collect(),
-            ..postusher_waiting::Limits::default()
+            ..postusher_deferred_jobs::Limits::default()
         }
     }
 }
--- a/setup/src/members.rs
+++ b/crates/setup/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::element::Element;
 use crate::{units, Mistake};
-use postusher_members::Config;
+use postusher_membership::Config;
 use std::net::SocketAddr;
 
 /// Schedulers that know of each other.
--- a/simhost/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Hosts one dispatcher for each instance. Instances share nothing.
 
 use crate::wire::{Batch, Record, Reply};
-use postusher::{Action, Dispatcher, Event, Micros};
-use postusher_settings as settings;
+use postusher_decision::{Action, Dispatcher, Event, Micros};
+use postusher_settings::SiteSettings;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -19,9 +19,9 @@
         for (instance, record) in batch.records {
             match record {
                 Record::Launch { seed, settings } => {
-                    let settings =
-                        settings::parse(&settings).map_err(|e| format!("instance {instance}: {e}"))?;
-                    self.instances.insert(instance, Dispatcher::new(settings, seed, batch.now));
+                    let site =
+                        SiteSettings::parse(&settings).map_err(|e| format!("instance {instance}: {e}"))?;
+                    self.instances.insert(instance, Dispatcher::new(site.settings, seed, batch.now));
                 }
                 Record::Kill => {
                     self.instances.remove(&instance);
@@ -51,7 +51,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use postusher::{Job, JobId, ListKind};
+    use postusher_decision::{Job, JobId, ListUpdate};
 
     const PROFILE: &str = r#"{"Permissions": {"MaxAttempts": 3}, "Unheard": 1,
         "Rules": {"ColdFrom": 0.1, "FallMs": 1000, "OverloadFactor": 3, "WarmAfterMs": 9000},
@@ -62,15 +62,23 @@
     }
 
     fn job() -> (u16, Record) {
-        let job =
-            Job { id: JobId(1), class: 0, expires: 9_000_000, hint: None, slots: 1, key: 0, customer: 0 };
-        (4, Record::Event(Event::Arrived(job)))
+        let job = Job {
+            id: JobId(1),
+            class: 0,
+            deadline: 9_000_000,
+            size_hint: None,
+            slots: 1,
+            key: 0,
+            customer: 0,
+        };
+        (4, Record::Event(Event::JobArrived(job)))
     }
 
     #[test]
     fn kill_and_launch_in_one_batch_forget_everything() {
         let mut host = Host::default();
-        let list = (4, Record::Event(Event::Members { kind: ListKind::Cached, members: Vec::new() }));
+        let list =
+            (4, Record::Event(Event::EndpointList { update: ListUpdate::Cached, endpoints: Vec::new() }));
         let first = host.play(Batch { now: 1, records: vec![launch(), job()] }).unwrap();
         let again = host.play(Batch { now: 1, records: vec![(4, Record::Kill), launch(), job()] }).unwrap();
         assert_eq!(first, again, "the same job id is new to the new instance");
--- a/simhost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -44,7 +44,7 @@
     match run(&mut BufReader::new(io::stdin().lock()), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            eprintln!("postusher-simhost: {e}");
+            eprintln!("postusher-simulator-adapter: {e}");
             ExitCode::FAILURE
         }
     }
--- a/lab/examples/direct.rs
+++ b/crates/testbed/examples/direct.rs
@@ -1,11 +1,11 @@
 //! Measures the program with workers that answer requests themselves: shares at low, middle and high load, what it adds
-//! to a call, and memory with many open connections. By hand: `cargo run --profile lab -p postusher-lab --example
+//! to a call, and memory with many open connections. By hand: `cargo run --profile testbed -p postusher-testbed --example
 //! direct -- PROGRAM`. Calls through it and past it take turns, so that the machine's noise falls on both.
 
 use anyhow::{Context, Result};
 use hdrhistogram::Histogram;
-use postusher_lab::direct::{Client, Standin};
-use postusher_lab::schedulers::free_address;
+use postusher_testbed::direct::{Client, Standin};
+use postusher_testbed::schedulers::free_address;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
--- a/lab/examples/member_cost.rs
+++ b/crates/testbed/examples/member_cost.rs
@@ -1,10 +1,10 @@
-//! What membership costs a real process among many: `cargo run --release -p postusher-lab --example member_cost -- POSTUSHER
+//! What membership costs a real process among many: `cargo run --release -p postusher-testbed --example member_cost -- POSTUSHER
 //! [members] [seconds]`. The program is one member; the others are its own state machine on sockets of their own, all in
 //! this process, which plays no part in the figure.
 
 use anyhow::{bail, Context, Result};
-use postusher_lab::virtual_net::name;
-use postusher_members::{Action, Config, Members};
+use postusher_membership::{Action, Config, Members};
+use postusher_testbed::virtual_net::name;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream, UdpSocket};
 use std::path::Path;
--- a/lab/examples/members.rs
+++ b/crates/testbed/examples/members.rs
@@ -1,12 +1,12 @@
-//! Measures membership in virtual time and writes a page with plots: `cargo run --release -p postusher-lab --example members
+//! Measures membership in virtual time and writes a page with plots: `cargo run --release -p postusher-testbed --example members
 //! -- OUT [hours]`. What it prints follows from the seeds alone.
 
 use anyhow::{Context, Result};
 use plotters::prelude::*;
-use postusher_lab::detectors::{self, Case, Way};
-use postusher_lab::schedulers::resident_kib;
-use postusher_lab::virtual_net::{Links, Net, Seen};
-use postusher_members::{Devices, Standing};
+use postusher_membership::{Devices, Standing};
+use postusher_testbed::detectors::{self, Case, Way};
+use postusher_testbed::schedulers::resident_kib;
+use postusher_testbed::virtual_net::{Links, Net, Seen};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,17 +1,17 @@
-//! `postusher-lab`: plays scenarios against the real program and says what it saw.
+//! `postusher-testbed`: plays scenarios against the real program and says what it saw.
 #![forbid(unsafe_code)]
 
 use anyhow::{Context, Result};
 use clap::{Parser, Subcommand};
 use indicatif::{ProgressBar, ProgressStyle};
-use postusher_lab::scenario::Scenario;
-use postusher_lab::{bench, report, rules, soak};
+use postusher_testbed::scenario::Scenario;
+use postusher_testbed::{bench, report, rules, soak};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 /// A laboratory for postusher: everything around it is played, on loopback addresses.
 #[derive(Parser)]
-#[command(name = "postusher-lab", version)]
+#[command(name = "postusher-testbed", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -95,9 +95,9 @@
             bar.set_style(ProgressStyle::with_template("{bar:40} {percent:>3}%  {elapsed}")?);
             let shown = bar.clone();
             let options = bench::Options { binary, out: out.clone(), seed, between: None };
-            let mut plan = postusher_lab::plan::Plan::draw(&scenario, seed);
+            let mut plan = postusher_testbed::plan::Plan::draw(&scenario, seed);
             if no_waiting {
-                plan = postusher_lab::plan::Plan::of(
+                plan = postusher_testbed::plan::Plan::of(
                     plan.jobs.into_iter().filter(|j| !j.waits() && !j.backlog).collect(),
                 );
             }
@@ -167,7 +167,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
-            eprintln!("postusher-lab: {e:#}");
+            eprintln!("postusher-testbed: {e:#}");
             ExitCode::from(2)
         }
     }
--- a/lab/src/virtual_net.rs
+++ b/crates/testbed/src/virtual_net.rs
@@ -1,7 +1,7 @@
 //! Members of a cluster by the thousand over a modelled network in virtual time: the program's own state machine, with links
 //! that lose, delay, double, reorder and cut. The same seed plays the same to the byte.
 
-use postusher_members::{Action, Config, Devices, Members, Standing, Times, MOST_BYTES, VERSION};
+use postusher_membership::{Action, Config, Devices, Members, Standing, Times, MOST_BYTES, VERSION};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/lab/tests/direct.rs
+++ b/crates/testbed/tests/direct.rs
@@ -3,10 +3,10 @@
 
 use postusher_import::files::Disk;
 use postusher_import::{apache, mod_jk, Ajp};
-use postusher_lab::bench::beside;
-use postusher_lab::direct::{Client, Manner, Standin};
-use postusher_lab::schedulers::{ask, free_address, resident_kib};
 use postusher_setup::{Pool, Role, State, Worker};
+use postusher_testbed::bench::beside;
+use postusher_testbed::direct::{Client, Manner, Standin};
+use postusher_testbed::schedulers::{ask, free_address, resident_kib};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/lab/tests/soak.rs
+++ b/crates/testbed/tests/soak.rs
@@ -1,7 +1,7 @@
-//! The soak in short: a few seeds, each with faults of its own that overlap. By hand: `postusher-lab soak --seeds 50`.
+//! The soak in short: a few seeds, each with faults of its own that overlap. By hand: `postusher-testbed soak --seeds 50`.
 
-use postusher_lab::bench::{beside, play, Options};
-use postusher_lab::soak;
+use postusher_testbed::bench::{beside, play, Options};
+use postusher_testbed::soak;
 use std::path::Path;
 
 /// Plays the scenario of a seed; no rule may be broken, by what the peers saw and by the schedulers' own logs.
